--- a/include/tillerhall/proxy/call_entry.hpp
+++ b/include/tillerhall/proxy/call_entry.hpp
@@ -64,7 +64,7 @@
 
 private:
     /** With less time left nothing is sent any more. */
-    static constexpr milliseconds least_time_left{5};
+    static constexpr milliseconds min_time_left{5};
     /** When to come back where no target takes work. */
     static constexpr milliseconds retry_without_target{100};
 
@@ -72,8 +72,9 @@
     struct service_record
     {
         fleet_budget budget;
-        double failing = 0; ///< decaying share of runs that ended in failure
-        exposure_tickets tickets; ///< to a release that is not proved
+        double failure_share =
+            0; ///< decaying share of runs that ended in failure
+        exposure_tickets permits; ///< to a release that is not proved
     };
 
     /** One call and what became of it so far. */
@@ -82,18 +83,18 @@
               boost::intrusive::link_mode<boost::intrusive::auto_unlink>>
     {
         owner_call call;
-        call_begin begin;
+        call_start begin;
         cancel_scope* scope = nullptr;
         const call_route* route = nullptr;
         std::vector<address> tried;
         unsigned targets_reached = 0;
-        std::vector<address> ended_at; ///< whose targets ended meanwhile
-        unsigned refused_alike = 0;    ///< by owners that expect others to, too
-        bool may_have_run = false;     ///< in a try whose answer is not known
-        bool on_trial = false; ///< the present try is at a release on trial
+        std::vector<address> crashed_at; ///< whose targets ended meanwhile
+        unsigned common_refusals = 0; ///< by owners that expect others to, too
+        bool may_have_run = false;    ///< in a try whose answer is not known
+        bool is_canary = false; ///< the present try is at a release on trial
 
         /** @return the sort of calls that an owner refuses with this one. */
-        refused_work refused_as() const
+        refused_work refusal_key() const
         {
             return {call.work(), call.elapsed > duration::zero()};
         }
@@ -122,56 +123,57 @@
      */
     void classify(owner_call& call, const std::optional<milliseconds>& left);
     owner_answer
-    lead(received_request& request, call_state& state, cancel_scope& scope);
+    forward(received_request& request, call_state& state, cancel_scope& scope);
     /** @return whom to ask next; those in a planned stop last. */
     chosen_owner choose_owner(const received_request& request,
                               call_state& state,
                               const service_targets& view);
     /** @return an owner of a target on trial, if this call may go there. */
-    member_ptr choose_on_trial(const received_request& request,
-                               const call_state& state,
-                               const service_targets& view);
+    member_ptr choose_canary(const received_request& request,
+                             const call_state& state,
+                             const service_targets& view);
     /** Draws and gives back tickets by whether the try reached a target. */
-    void note_exposure(const call_state& state, bool reached);
-    owner_answer try_one(received_request& request,
-                         call_state& state,
-                         const member& owner,
-                         cancel_scope& scope);
+    void update_exposure_permits(const call_state& state, bool reached);
+    owner_answer try_owner(received_request& request,
+                           call_state& state,
+                           const member& owner,
+                           cancel_scope& scope);
     /** Remembers a refusal for want of room while a processor is pressed. */
-    void note_refusal(const call_state& state,
-                      const member& owner,
-                      const owner_answer& answer,
-                      time_point now);
+    void record_refusal(const call_state& state,
+                        const member& owner,
+                        const owner_answer& answer,
+                        time_point now);
     /** Asks an owner for its load, on a connection that calls use. */
-    std::optional<owner_word> ask_peer(const member& owner);
+    std::optional<owner_word> query_load(const member& owner);
     /** Claims a turn for a body on an owner's link, in the same way. */
-    std::optional<duration> claim_turn(const member& owner,
-                                       std::uint64_t bytes);
-    std::optional<owner_answer> ask_owner(const member& owner,
-                                          whole_request question);
+    std::optional<duration> claim_transfer_slot(const member& owner,
+                                                std::uint64_t bytes);
+    std::optional<owner_answer> query_owner(const member& owner,
+                                            whole_request query);
     owner_answer send_to_peer(received_request& request,
                               const call_state& state,
                               const member& owner,
                               cancel_scope& scope);
-    bool may_try_again(const received_request& request,
-                       const call_state& state,
-                       const owner_answer& last,
-                       const cancel_scope& scope);
-    bool helps_elsewhere(const received_request& request,
-                         const call_state& state,
-                         const owner_answer& last);
+    bool may_retry(const received_request& request,
+                   const call_state& state,
+                   const owner_answer& last,
+                   const cancel_scope& scope);
+    bool is_worth_retrying(const received_request& request,
+                           const call_state& state,
+                           const owner_answer& last);
     /** @return how the call is held since targets ended under it. */
-    std::optional<call_hold> hold_on(const received_request& request,
-                                     const call_state& state) const;
+    std::optional<call_hold> quarantine_status(const received_request& request,
+                                               const call_state& state) const;
     /** Refuses a held call, or has it tried by the one owner that may. */
-    owner_answer lead_held(received_request& request,
-                           call_state& state,
-                           const call_hold& hold,
-                           cancel_scope& scope);
-    bool take_budget(const std::string& service, const owner_answer& last);
-    void note_end(const call_state& state,
-                  const whole_request& request,
-                  const owner_answer& answer);
+    owner_answer forward_quarantined(received_request& request,
+                                     call_state& state,
+                                     const call_hold& quarantine,
+                                     cancel_scope& scope);
+    bool take_retry_budget(const std::string& service,
+                           const owner_answer& last);
+    void record_outcome(const call_state& state,
+                        const whole_request& request,
+                        const owner_answer& answer);
 
     const entry_settings& m_config;
     const wire_names& m_names;
@@ -181,21 +183,21 @@
     quota_gate& m_quotas;
     client_answers m_answers;
     owner_choice m_choice;
-    unreachable m_report;
+    unreachable m_report_unreachable;
     const worker& m_worker;
     entry_log m_log;
     random_source m_random{entropy_seed()};
     refusal_memory m_refusals;
-    recent_runs m_answered_well;
+    recent_runs m_recent_good_calls;
     stream_pool m_pool;
     share_sequence m_shares;
     objectives_in_use m_objectives;
-    usual_budgets m_budgets;
+    usual_budgets m_deadline_budgets;
     std::map<std::string, service_record> m_services;
     boost::intrusive::list<call_state,
                            boost::intrusive::constant_time_size<false>>
-        m_under_way;
-    bool m_ended = false;
+        m_active_calls;
+    bool m_calls_cancelled = false;
 };
 
 } // namespace tillerhall
--- a/include/tillerhall/proxy/call_fingerprint.hpp
+++ b/include/tillerhall/proxy/call_fingerprint.hpp
@@ -42,6 +42,6 @@
  */
 std::optional<call_hold> hold_of(const suspect_calls& known,
                                  const whole_request& request,
-                                 const std::vector<address>& ended_at = {});
+                                 const std::vector<address>& crashed_at = {});
 
 } // namespace tillerhall
--- a/include/tillerhall/proxy/client_answers.hpp
+++ b/include/tillerhall/proxy/client_answers.hpp
@@ -27,21 +27,23 @@
     whole_response not_found(const std::string& id) const;
 
     /** The call @p id carries no key, or one that nobody holds. */
-    whole_response not_known(const std::string& id) const;
+    whole_response unauthorized(const std::string& id) const;
 
     /** The account of the call @p id has spent its quota. @param back when
      * its next tokens are there */
-    whole_response over_quota(const std::string& id, duration back) const;
+    whole_response over_quota(const std::string& id,
+                              duration retry_after) const;
 
     /** This node takes no calls now; another one may. */
-    whole_response not_taken(const std::string& id, const char* why) const;
+    whole_response unavailable(const std::string& id, const char* why) const;
 
     /**
      * What became of the call @p id. @param may_have_run in an earlier try, so
      * that a refusal would promise too much
      */
-    whole_response
-    of(const std::string& id, bool may_have_run, owner_answer answer) const;
+    whole_response response_to(const std::string& id,
+                               bool may_have_run,
+                               owner_answer answer) const;
 
 private:
     whole_response problem(unsigned status,
--- a/include/tillerhall/proxy/entry_log.hpp
+++ b/include/tillerhall/proxy/entry_log.hpp
@@ -10,7 +10,7 @@
 {
 
 /** When a call came, and what it met. */
-struct call_begin
+struct call_start
 {
     time_point received{}; ///< see `received_request`
     duration waited{};     ///< from then until its work began
@@ -21,9 +21,9 @@
 struct call_progress
 {
     unsigned targets_reached = 0;
-    std::size_t owners_tried = 0;  ///< and left for another one
-    std::size_t targets_ended = 0; ///< while it ran there
-    std::string call;              ///< its fingerprint, if its end is unknown
+    std::size_t owners_tried = 0;    ///< and left for another one
+    std::size_t targets_crashed = 0; ///< while it ran there
+    std::string fingerprint;         ///< its fingerprint, if its end is unknown
 };
 
 /** Tells how calls went, and when the processor is pressed. */
@@ -33,26 +33,26 @@
     entry_log(blackboard& board, const address& own, const worker& on);
 
     /** The work of a call that came at @p received begins. */
-    call_begin begun(time_point received);
+    call_start call_started(time_point received);
 
     /** A call has ended; one line if it got no target's answer. */
-    void ended(const owner_call& call,
-               const call_begin& begin,
-               const call_progress& progress,
-               const owner_answer& answer);
+    void call_finished(const owner_call& call,
+                       const call_start& begin,
+                       const call_progress& progress,
+                       const owner_answer& answer);
 
     /** A call was refused here; no owner was asked. */
-    void refused(const std::string& reason);
+    void call_refused(const std::string& reason);
 
 private:
     /** Writes a line when the processor gets pressed, and when that ends. */
-    void note_pressure(duration busy_for);
+    void log_saturation(duration busy_for);
 
     blackboard& m_board;
     const address& m_own;
     const worker& m_worker;
     latency_histogram& m_waits;
-    bool m_was_pressed = false;
+    bool m_was_saturated = false;
 };
 
 } // namespace tillerhall
--- a/include/tillerhall/proxy/owner_answer.hpp
+++ b/include/tillerhall/proxy/owner_answer.hpp
@@ -41,7 +41,7 @@
     duration objective{};  ///< within which an answer is worth most
     duration elapsed{};    ///< since its client's first try, if that was before
     bool nested = false;   ///< made by a target in the course of a run
-    bool is_trial = false; ///< of a held call, to see whether it still is one
+    bool is_probe = false; ///< of a held call, to see whether it still is one
 
     /** @return its urgency among all that wait: the account's, then the
      * route's. */
@@ -78,30 +78,31 @@
     std::optional<whole_response> response; ///< the target's, if answered
     std::string reason;                     ///< why, unless answered
     bool reached = false; ///< the target has, or may have, seen the call
-    bool elsewhere_alike = false; ///< other targets would refuse it as well
-    bool target_ended = false;    ///< while the call ran there
-    duration retry_after{};       ///< of a refusal
-    owner_word told;
+    bool others_would_refuse = false; ///< other targets would refuse it as well
+    bool target_crashed = false;      ///< while the call ran there
+    duration retry_after{};           ///< of a refusal
+    owner_word report;
 };
 
 /** Why a call is refused that targets have ended under. */
 inline constexpr const char* ends_its_targets = "ends_its_targets";
 
 /** Stands for the id of a call in a question and its answer. */
-inline constexpr const char* load_question_id = "load";
+inline constexpr const char* load_query_id = "load";
 
 /** @return a request that asks an owner for its load; nothing runs. */
-whole_request load_question(const std::string& id_field);
+whole_request load_query(const std::string& id_field);
 
 /** @return the same, claiming a turn on the owner's link for a body: the
  * answer's time to come back is zero if it may be sent now. */
-whole_request body_claim(const std::string& id_field, std::uint64_t bytes);
+whole_request transfer_slot_claim(const std::string& id_field,
+                                  std::uint64_t bytes);
 
 /** @return the bytes of the body that @p question claims a turn for. */
-std::optional<std::uint64_t> claimed_bytes(const whole_request& question);
+std::optional<std::uint64_t> claimed_bytes(const whole_request& query);
 
 /** @return whether @p request only asks for the load. */
-bool is_load_question(const whole_request& request);
+bool is_load_query(const whole_request& request);
 
 /** Writes @p call into @p request, which goes to another node. */
 void write_hop_fields(whole_request& request,
--- a/include/tillerhall/proxy/owner_choice.hpp
+++ b/include/tillerhall/proxy/owner_choice.hpp
@@ -18,9 +18,9 @@
 {
     member_ptr owner; ///< null if none is left or all links are full
     /** How long the links of the owners are full; zero if they are not. */
-    duration links_full{};
+    duration links_full_for{};
     /** When to come back if all have just refused such calls, else zero. */
-    duration owners_full{};
+    duration owners_full_for{};
 };
 
 /**
@@ -34,18 +34,19 @@
 {
 public:
     /** Asks an owner for its word. @return nothing if it does not answer. */
-    using asker = std::function<std::optional<owner_word>(const member&)>;
+    using load_query_fn =
+        std::function<std::optional<owner_word>(const member&)>;
     /** Claims a turn for a body on an owner's link. @return how long to wait
      * before asking again, zero if it may be sent; nothing if none answers. */
-    using claimer =
+    using slot_claim_fn =
         std::function<std::optional<duration>(const member&, std::uint64_t)>;
 
     owner_choice(const entry_settings& config,
                  target_board& targets,
                  const target_owner& local,
                  worker& on,
-                 asker ask,
-                 claimer claim);
+                 load_query_fn query_load,
+                 slot_claim_fn claim_slot);
 
     /**
      * @param candidates owners of the service's targets
@@ -60,12 +61,12 @@
                         const work_class& work);
 
 private:
-    struct inquiry;
-    struct patience;
+    struct pending_queries;
+    struct wait_limits;
 
     /** @return the best owner of @p answered whose link takes the body now. */
-    chosen_owner claim_turn(const std::vector<member_ptr>& answered,
-                            const call_origin& from);
+    chosen_owner claim_transfer_slot(const std::vector<member_ptr>& answered,
+                                     const call_origin& from);
     /** @return the one to send a small call with a small answer to. */
     member_ptr choose_small(const std::vector<member_ptr>& candidates,
                             const std::vector<address>& avoid,
@@ -76,31 +77,31 @@
                 const call_origin& from) const;
     /** @return those that were asked and answered. */
     std::vector<member_ptr>
-    ask_for_load(const std::vector<member_ptr>& candidates,
-                 const std::vector<owner_outlook>& outlooks,
-                 const member_ptr& favourite,
-                 const call_origin& from);
-    bool is_silent(const address& owner, time_point now) const;
-    void was_silent(const address& owner, time_point now);
+    query_for_room(const std::vector<member_ptr>& candidates,
+                   const std::vector<owner_outlook>& outlooks,
+                   const member_ptr& preferred,
+                   const call_origin& from);
+    bool is_unresponsive(const address& owner, time_point now) const;
+    void mark_unresponsive(const address& owner, time_point now);
     std::vector<member_ptr>
-    whom_to_ask(const std::vector<member_ptr>& candidates,
-                std::vector<address> avoid,
-                const call_origin& from);
+    choose_owners_to_query(const std::vector<member_ptr>& candidates,
+                           std::vector<address> avoid,
+                           const call_origin& from);
     /** @return those that answered within the time given. */
-    std::vector<member_ptr> ask(const std::vector<member_ptr>& owners,
-                                const patience& waits);
-    void ask_one(const member_ptr& owner, inquiry& all);
+    std::vector<member_ptr> query_loads(const std::vector<member_ptr>& owners,
+                                        const wait_limits& waits);
+    void query_one(const member_ptr& owner, pending_queries& queries);
 
     const entry_settings& m_config;
     target_board& m_targets;
     const target_owner& m_local;
     worker& m_worker;
-    asker m_ask;
-    claimer m_claim;
+    load_query_fn m_query_load;
+    slot_claim_fn m_claim_slot;
     random_source m_random;
-    load_inquiry m_inquiry;
+    load_inquiry m_load_inquiry;
     /** Owners that did not answer, until when they are not asked again. */
-    std::map<address, time_point> m_silent;
+    std::map<address, time_point> m_unresponsive_until;
 };
 
 } // namespace tillerhall
--- a/include/tillerhall/proxy/run_evidence.hpp
+++ b/include/tillerhall/proxy/run_statistics.hpp
@@ -10,23 +10,23 @@
 {
 
 /** How one run ended, beside its answer. */
-struct run_end
+struct run_context
 {
     duration took{};
-    bool is_cold = false;     ///< the target is slow from its start
-    bool lost_a_call = false; ///< a call that the run made got no answer
+    bool is_cold = false;            ///< the target is slow from its start
+    bool nested_call_failed = false; ///< a call that the run made got no answer
 };
 
 /** Counts runs of the target's present start; for fibers of one worker. */
-class run_evidence
+class run_statistics
 {
 public:
     /** The target @p id is in use; another id begins anew, so that no start of
      * a target is told the runs of an earlier one. */
-    void use(const std::string& id);
+    void set_target(const std::string& id);
 
     /** A call is taken for the target @p id. */
-    void taken(const std::string& id);
+    void run_started(const std::string& id);
 
     /**
      * One of the target @p id ended. Not counted is what says nothing of the
@@ -34,17 +34,17 @@
      * that it made had failed, which is the doing of another service; nor a run
      * of an earlier start than the one in use.
      */
-    void ended(const std::string& id,
-               const work_class& work,
-               const owner_answer& answer,
-               const run_end& how);
+    void run_finished(const std::string& id,
+                      const work_class& work,
+                      const owner_answer& answer,
+                      const run_context& context);
 
-    std::uint64_t taken_count() const noexcept { return m_taken; }
+    std::uint64_t taken_count() const noexcept { return m_started; }
     const counts_by_class& counts() const noexcept { return m_counts; }
 
 private:
     std::string m_target_id;
-    std::uint64_t m_taken = 0;
+    std::uint64_t m_started = 0;
     counts_by_class m_counts;
 };
 
--- a/include/tillerhall/proxy/wire_names.hpp
+++ b/include/tillerhall/proxy/wire_names.hpp
@@ -46,9 +46,9 @@
 inline constexpr const char* objective_ms = "Tillerhall-Objective-Ms";
 inline constexpr const char* nested = "Tillerhall-Nested"; ///< if made by a run
 inline constexpr const char* elapsed_ms = "Tillerhall-Elapsed-Ms"; ///< if any
-inline constexpr const char* trial = "Tillerhall-Trial"; ///< if it is one
+inline constexpr const char* probe = "Tillerhall-Trial"; ///< if it is one
 /** Asks for the owner's load only; nothing runs. */
-inline constexpr const char* question = "Tillerhall-Asks";
+inline constexpr const char* query = "Tillerhall-Asks";
 /** In a question: bytes of a body that wants its turn on the owner's link. */
 inline constexpr const char* claim = "Tillerhall-Claim";
 // In an owner's answer:
@@ -59,9 +59,9 @@
 inline constexpr const char* slots = "Tillerhall-Slots";
 inline constexpr const char* incoming = "Tillerhall-Incoming";       ///< if any
 inline constexpr const char* link_backlog_ms = "Tillerhall-Link-Ms"; ///< if any
-inline constexpr const char* pressed = "Tillerhall-Pressed";         ///< if so
-inline constexpr const char* alike = "Tillerhall-Alike";
-inline constexpr const char* target_ended = "Tillerhall-Target-Ended";
+inline constexpr const char* saturated = "Tillerhall-Pressed";       ///< if so
+inline constexpr const char* others_refuse = "Tillerhall-Alike";
+inline constexpr const char* target_crashed = "Tillerhall-Target-Ended";
 inline constexpr const char* reason = "Tillerhall-Reason";
 inline constexpr const char* retry_after_ms = "Tillerhall-Retry-Ms";
 } // namespace hop_field
--- a/src/proxy/call_entry.cpp
+++ b/src/proxy/call_entry.cpp
@@ -16,22 +16,22 @@
 
 namespace http = boost::beast::http;
 
-constexpr std::size_t most_idle_per_peer = 32;
+constexpr std::size_t max_idle_per_peer = 32;
 // Four retransmissions of TCP at the least timeout of Linux (200 ms, doubled
 // each time, the first two): a path that loses some packets lives on.
 constexpr milliseconds peer_user_timeout(800);
 // Owners asked that refuse before their target saw the call.
-constexpr std::size_t most_owners = 4;
+constexpr std::size_t max_owners_tried = 4;
 // One owner may be wrong about the others; asked on and on, shedding owners
 // would let most calls through in the end.
-constexpr unsigned most_alike = 2;
+constexpr unsigned max_common_refusals = 2;
 // Less than this part of its objective passes before a first try is read.
-constexpr int noticed_part = 8;
-constexpr std::int64_t longest_time_left_ms = 3'600'000;
+constexpr int elapsed_threshold_divisor = 8;
+constexpr std::int64_t max_time_left_ms = 3'600'000;
 // Weight of the newest run in the share that fails; some 20 count.
-constexpr double newest_share = 0.05;
+constexpr double failure_share_weight = 0.05;
 // One target of six that fails each second run stays below this.
-constexpr double failing_everywhere = 0.2;
+constexpr double fleetwide_failure_share = 0.2;
 
 std::optional<milliseconds> time_left_of(std::string_view text)
 {
@@ -41,15 +41,15 @@
     if (text.empty() || parsed.ec != std::errc() || parsed.ptr != end ||
         left < 0)
         return std::nullopt;
-    return milliseconds(std::min(left, longest_time_left_ms));
+    return milliseconds(std::min(left, max_time_left_ms));
 }
 
 /** @return a start in [0, 1) that differs from node to node. */
 double share_start(const address& own)
 {
-    constexpr double whole = 18446744073709551616.0; // 2^64
+    constexpr double two_pow_64 = 18446744073709551616.0; // 2^64
     return static_cast<double>(mix_bits(std::hash<std::string>{}(own.text()))) /
-           whole;
+           two_pow_64;
 }
 
 /** @return whether the target answered with a failure of its own. */
@@ -62,8 +62,8 @@
 call_verdict verdict_of(const owner_answer& answer)
 {
     if (answer.end == call_end::not_run)
-        return answer.reached || answer.told.load ? call_verdict::refused
-                                                  : call_verdict::failed;
+        return answer.reached || answer.report.load ? call_verdict::refused
+                                                    : call_verdict::failed;
     if (answer.end == call_end::cancelled)
         return call_verdict::unknown;
     const bool good = answer.end == call_end::answered && !is_failure(answer);
@@ -92,13 +92,13 @@
           targets,
           local,
           on,
-          [this](const member& owner) { return ask_peer(owner); },
+          [this](const member& owner) { return query_load(owner); },
           [this](const member& owner, std::uint64_t bytes)
-          { return claim_turn(owner, bytes); })
-    , m_report(std::move(report))
+          { return claim_transfer_slot(owner, bytes); })
+    , m_report_unreachable(std::move(report))
     , m_worker(on)
     , m_log(board, config.own, on)
-    , m_pool(on.io(), most_idle_per_peer, config.own.ip, peer_user_timeout)
+    , m_pool(on.io(), max_idle_per_peer, config.own.ip, peer_user_timeout)
     , m_shares(share_start(config.own))
 {
 }
@@ -117,16 +117,16 @@
 {
     auto& message = request.message;
     call_state state;
-    state.begin = m_log.begun(request.received);
+    state.begin = m_log.call_started(request.received);
     state.call.request_id = std::string(message[m_names.request_id]);
     const auto& id = state.call.request_id;
     if (id.empty())
         return refuse({400, "the field " + m_names.request_id + " is missing"});
     const auto routes = m_board.call_map.get();
     if (routes->version() == 0)
-        return m_answers.not_taken(id, "this node has no routes yet");
+        return m_answers.unavailable(id, "this node has no routes yet");
     if (m_board.phase == node_phase::ending)
-        return m_answers.not_taken(id, "this node ends");
+        return m_answers.unavailable(id, "this node ends");
     state.route = routes->find(message[http::field::host], message.target());
     if (state.route == nullptr)
         return m_answers.not_found(id);
@@ -135,8 +135,8 @@
     const auto caller = caller_of(message, *routes, route);
     if (!caller.may_call())
         return refuse_caller(id, caller.standing);
-    if (const auto back = over_quota(caller))
-        return m_answers.over_quota(id, *back);
+    if (const auto retry_after = over_quota(caller))
+        return m_answers.over_quota(id, *retry_after);
     if (routes->accounts() != nullptr)
         set_account(state.call, message, caller);
     set_terms(state.call, route, request.received, left);
@@ -145,16 +145,16 @@
         request.received + state.call.objective - state.call.elapsed;
     remove_hop_fields(message);
     state.scope = &scope;
-    m_under_way.push_back(state);
+    m_active_calls.push_back(state);
     ++m_board.calls_in_flight;
-    auto answer = lead(request, state, scope);
+    auto answer = forward(request, state, scope);
     --m_board.calls_in_flight;
-    if (m_ended && answer.end == call_end::cancelled)
+    if (m_calls_cancelled && answer.end == call_end::cancelled)
         answer.reason = "this node ended before the answer came";
-    note_end(state, message, answer);
+    record_outcome(state, message, answer);
     if (caller.account != nullptr && state.targets_reached == 0)
         m_quotas.give_back(*caller.account);
-    return m_answers.of(id, state.may_have_run, std::move(answer));
+    return m_answers.response_to(id, state.may_have_run, std::move(answer));
 }
 
 caller_identity call_entry::caller_of(const whole_request& request,
@@ -162,7 +162,7 @@
                                       const call_route& route)
 {
     const std::string_view id = request[m_names.request_id];
-    const caller_evidence evidence{m_local.runs().maker_of(id).has_value(),
+    const caller_evidence evidence{m_local.runs().parent_of(id).has_value(),
                                    id.find('.') != std::string_view::npos};
     return identify_caller(request, routes, route, evidence);
 }
@@ -172,20 +172,20 @@
 {
     m_board.metrics.get("tillerhall_caller_refused_total").add();
     return standing == caller_standing::not_known
-               ? m_answers.not_known(id)
-               : m_answers.not_taken(id, "whose call it is can't be told");
+               ? m_answers.unauthorized(id)
+               : m_answers.unavailable(id, "whose call it is can't be told");
 }
 
 std::optional<duration> call_entry::over_quota(const caller_identity& caller)
 {
     if (caller.account == nullptr)
         return std::nullopt;
-    const auto back =
+    const auto retry_after =
         m_quotas.ask(*caller.account, m_board.targets.get()->live_members(),
                      steady_clock::now());
-    if (back)
+    if (retry_after)
         m_board.metrics.get("tillerhall_over_quota_total").add();
-    return back;
+    return retry_after;
 }
 
 void call_entry::set_account(owner_call& call,
@@ -200,8 +200,8 @@
 
 void call_entry::end_calls()
 {
-    m_ended = true;
-    for (auto& each : m_under_way)
+    m_calls_cancelled = true;
+    for (auto& each : m_active_calls)
         each.scope->cancel();
 }
 
@@ -217,7 +217,7 @@
     call.deadline =
         received +
         std::min<duration>(route.timeout,
-                           left.value_or(milliseconds(longest_time_left_ms)));
+                           left.value_or(milliseconds(max_time_left_ms)));
     call.objective = route.objective > milliseconds::zero() ? route.objective
                                                             : route.timeout;
 }
@@ -230,19 +230,20 @@
     m_objectives.saw(objective);
     auto& runs = m_local.runs();
     // Where ids tell nothing, targets' calls are told by their objective.
-    call.nested = runs.maker_of(call.request_id).has_value() ||
-                  (!runs.ids_tell() && m_objectives.is_short(objective));
+    call.nested =
+        runs.parent_of(call.request_id).has_value() ||
+        (!runs.ids_name_parents() && m_objectives.is_short(objective));
     if (call.nested || !left)
         return;
     const auto elapsed =
-        m_budgets.elapsed(call.work(), *left, steady_clock::now());
-    if (elapsed > call.objective / noticed_part)
+        m_deadline_budgets.elapsed(call.work(), *left, steady_clock::now());
+    if (elapsed > call.objective / elapsed_threshold_divisor)
         call.elapsed = elapsed;
 }
 
-owner_answer call_entry::lead(received_request& request,
-                              call_state& state,
-                              cancel_scope& scope)
+owner_answer call_entry::forward(received_request& request,
+                                 call_state& state,
+                                 cancel_scope& scope)
 {
     const auto& service = state.call.service;
     std::optional<owner_answer> failure; // a target's own, tried again since
@@ -252,34 +253,34 @@
     last.retry_after = retry_without_target;
     m_services[service].budget.call(m_config.budget,
                                     m_board.targets.get()->live_members());
-    if (steady_clock::now() + least_time_left >= state.call.deadline)
+    if (steady_clock::now() + min_time_left >= state.call.deadline)
     {
         last.reason = "its time was over before it was read";
         return last;
     }
-    if (const auto hold = hold_on(request, state))
-        return lead_held(request, state, *hold, scope);
+    if (const auto quarantine = quarantine_status(request, state))
+        return forward_quarantined(request, state, *quarantine, scope);
     while (!scope.is_cancelled_now())
     {
         const auto view = m_board.targets.get();
         const auto chosen = choose_owner(request, state, *view);
         const auto& owner = chosen.owner;
-        if (chosen.links_full > duration::zero())
+        if (chosen.links_full_for > duration::zero())
         {
             last.reason = "links_full";
-            last.retry_after = chosen.links_full;
+            last.retry_after = chosen.links_full_for;
         }
-        if (chosen.owners_full > duration::zero())
+        if (chosen.owners_full_for > duration::zero())
         {
             last.reason = "owners_full";
-            m_log.refused(last.reason);
-            last.retry_after = chosen.owners_full;
+            m_log.call_refused(last.reason);
+            last.retry_after = chosen.owners_full_for;
         }
         if (!owner)
             return failure ? std::move(*failure) : last;
-        last = try_one(request, state, *owner, scope);
+        last = try_owner(request, state, *owner, scope);
         const bool answered = last.end == call_end::answered;
-        if (!may_try_again(request, state, last, scope))
+        if (!may_retry(request, state, last, scope))
             return failure && !answered ? std::move(*failure) : last;
         if (answered)
             failure = std::exchange(last, {});
@@ -290,49 +291,49 @@
     return last;
 }
 
-member_ptr call_entry::choose_on_trial(const received_request& request,
-                                       const call_state& state,
-                                       const service_targets& view)
+member_ptr call_entry::choose_canary(const received_request& request,
+                                     const call_state& state,
+                                     const service_targets& view)
 {
-    const auto& trial = view.on_trial(state.call.service);
-    if (trial.members.empty() ||
-        !m_services[state.call.service].tickets.has_one())
+    const auto& canaries = view.on_trial(state.call.service);
+    if (canaries.members.empty() ||
+        !m_services[state.call.service].permits.has_one())
         return nullptr;
     // A full target would refuse it; those with the calls may have room.
-    auto roomy = trial.members;
-    std::erase_if(roomy,
+    auto with_room = canaries.members;
+    std::erase_if(with_room,
                   [now = steady_clock::now(), this](const member_ptr& each)
                   { return m_targets.seems_full(each->rpc, now); });
     return m_choice
-        .choose(roomy, state.tried, request.message.body().size(),
+        .choose(with_room, state.tried, request.message.body().size(),
                 state.call.work())
         .owner;
 }
 
-void call_entry::note_exposure(const call_state& state, bool reached)
+void call_entry::update_exposure_permits(const call_state& state, bool reached)
 {
-    auto& tickets = m_services[state.call.service].tickets;
-    if (state.on_trial && !reached)
-        return tickets.give_back();
+    auto& permits = m_services[state.call.service].permits;
+    if (state.is_canary && !reached)
+        return permits.give_back();
     const auto view = m_board.targets.get();
-    const auto& trial = view->on_trial(state.call.service);
-    if (reached && trial.share > 0)
-        tickets.reached(trial.share, m_random.unit());
+    const auto& canaries = view->on_trial(state.call.service);
+    if (reached && canaries.share > 0)
+        permits.reached(canaries.share, m_random.unit());
 }
 
 chosen_owner call_entry::choose_owner(const received_request& request,
                                       call_state& state,
                                       const service_targets& view)
 {
-    state.on_trial = false;
-    if (auto owner = choose_on_trial(request, state, view))
+    state.is_canary = false;
+    if (auto owner = choose_canary(request, state, view))
     {
-        m_services[state.call.service].tickets.take();
-        state.on_trial = true;
+        m_services[state.call.service].permits.take();
+        state.is_canary = true;
         return {std::move(owner)};
     }
     const auto now = steady_clock::now();
-    auto avoid = m_refusals.refusing(state.refused_as(), now);
+    auto avoid = m_refusals.refusing(state.refusal_key(), now);
     const bool any_refuses = !avoid.empty();
     avoid.insert(avoid.end(), state.tried.begin(), state.tried.end());
     const auto among = [&](const std::vector<member_ptr>& owners)
@@ -343,113 +344,116 @@
     auto chosen = among(view.of(state.call.service));
     // While the last target's node was in a planned stop, all calls of its
     // service were refused for 3.8 s though the target served all the while.
-    if (!chosen.owner && chosen.links_full == duration::zero())
+    if (!chosen.owner && chosen.links_full_for == duration::zero())
         chosen = among(view.leaving(state.call.service));
     if (!chosen.owner && any_refuses && state.tried.empty())
-        chosen.owners_full = m_refusals.retry_after(state.refused_as(), now);
+        chosen.owners_full_for =
+            m_refusals.retry_after(state.refusal_key(), now);
     return chosen;
 }
 
-std::optional<call_hold> call_entry::hold_on(const received_request& request,
-                                             const call_state& state) const
+std::optional<call_hold>
+call_entry::quarantine_status(const received_request& request,
+                              const call_state& state) const
 {
-    return hold_of(*m_board.suspects.get(), request.message, state.ended_at);
+    return hold_of(*m_board.suspects.get(), request.message, state.crashed_at);
 }
 
-owner_answer call_entry::lead_held(received_request& request,
-                                   call_state& state,
-                                   const call_hold& hold,
-                                   cancel_scope& scope)
+owner_answer call_entry::forward_quarantined(received_request& request,
+                                             call_state& state,
+                                             const call_hold& quarantine,
+                                             cancel_scope& scope)
 {
     owner_answer refused;
     refused.end = call_end::not_run;
     refused.reason = ends_its_targets;
-    refused.retry_after = hold.left;
+    refused.retry_after = quarantine.left;
     const auto view = m_board.targets.get();
-    const bool is_due =
-        hold.may_be_tried(m_answered_well.contain(request.message));
-    const auto owner = is_due
+    const bool may_probe =
+        quarantine.may_be_tried(m_recent_good_calls.contain(request.message));
+    const auto owner = may_probe
                            ? trial_owner(view->of(state.call.service),
                                          fingerprint_of(request.message).text())
                            : nullptr;
     if (owner)
     {
-        state.call.is_trial = true;
-        return try_one(request, state, *owner, scope);
+        state.call.is_probe = true;
+        return try_owner(request, state, *owner, scope);
     }
-    m_log.refused(refused.reason);
+    m_log.call_refused(refused.reason);
     return refused;
 }
 
-bool call_entry::take_budget(const std::string& service,
-                             const owner_answer& last)
+bool call_entry::take_retry_budget(const std::string& service,
+                                   const owner_answer& last)
 {
     // A call that no target has seen costs the budget nothing.
     return !last.reached || m_services[service].budget.take();
 }
 
-bool call_entry::may_try_again(const received_request& request,
-                               const call_state& state,
-                               const owner_answer& last,
-                               const cancel_scope& scope)
+bool call_entry::may_retry(const received_request& request,
+                           const call_state& state,
+                           const owner_answer& last,
+                           const cancel_scope& scope)
 {
     if (scope.is_cancelled() ||
-        steady_clock::now() + least_time_left >= state.call.deadline)
+        steady_clock::now() + min_time_left >= state.call.deadline)
         return false;
     if (state.targets_reached >= state.route->most_targets ||
-        state.tried.size() + 1 >= most_owners)
+        state.tried.size() + 1 >= max_owners_tried)
         return false;
-    return helps_elsewhere(request, state, last) &&
-           take_budget(state.call.service, last);
+    return is_worth_retrying(request, state, last) &&
+           take_retry_budget(state.call.service, last);
 }
 
-bool call_entry::helps_elsewhere(const received_request& request,
-                                 const call_state& state,
-                                 const owner_answer& last)
+bool call_entry::is_worth_retrying(const received_request& request,
+                                   const call_state& state,
+                                   const owner_answer& last)
 {
     if (last.end == call_end::not_run)
-        return state.refused_alike < most_alike;
+        return state.common_refusals < max_common_refusals;
     if (!may_repeat(state.call.kind))
         return false;
     // An end that is not known may be the target's, and of the call's doing.
     if (last.end == call_end::unknown)
-        return !hold_on(request, state);
+        return !quarantine_status(request, state);
     // Where runs fail at every target, another one would fail as well.
-    return is_failure(last) &&
-           m_services[state.call.service].failing < failing_everywhere;
+    return is_failure(last) && m_services[state.call.service].failure_share <
+                                   fleetwide_failure_share;
 }
 
-owner_answer call_entry::try_one(received_request& request,
-                                 call_state& state,
-                                 const member& owner,
-                                 cancel_scope& scope)
+owner_answer call_entry::try_owner(received_request& request,
+                                   call_state& state,
+                                   const member& owner,
+                                   cancel_scope& scope)
 {
     const auto begin = steady_clock::now();
     m_targets.started(owner.rpc);
-    m_refusals.asked(owner.rpc, state.refused_as(), begin);
+    m_refusals.asked(owner.rpc, state.refusal_key(), begin);
     auto answer = owner.rpc == m_config.own
                       ? m_local.run(request.message, state.call, scope)
                       : send_to_peer(request, state, owner, scope);
     const auto now = steady_clock::now();
     m_targets.ended(owner.rpc,
-                    {verdict_of(answer), now - begin, answer.told,
+                    {verdict_of(answer), now - begin, answer.report,
                      state.call.work(),
                      answer.response ? answer.response->body().size() : 0},
                     now);
-    note_refusal(state, owner, answer, now);
-    note_exposure(state, answer.reached);
+    record_refusal(state, owner, answer, now);
+    update_exposure_permits(state, answer.reached);
     if (answer.reached)
         ++state.targets_reached;
-    if (answer.target_ended)
-        state.ended_at.push_back(owner.rpc);
-    if (answer.elsewhere_alike)
-        ++state.refused_alike;
+    if (answer.target_crashed)
+        state.crashed_at.push_back(owner.rpc);
+    if (answer.others_would_refuse)
+        ++state.common_refusals;
     if (answer.end == call_end::answered)
     {
-        auto& failing = m_services[state.call.service].failing;
-        failing += ((is_failure(answer) ? 1 : 0) - failing) * newest_share;
+        auto& failure_share = m_services[state.call.service].failure_share;
+        failure_share += ((is_failure(answer) ? 1 : 0) - failure_share) *
+                         failure_share_weight;
         if (!is_failure(answer))
-            m_answered_well.ran(request.message);
+            m_recent_good_calls.ran(request.message);
     }
     state.may_have_run = state.may_have_run ||
                          answer.end == call_end::unknown ||
@@ -457,24 +461,24 @@
     return answer;
 }
 
-void call_entry::note_refusal(const call_state& state,
-                              const member& owner,
-                              const owner_answer& answer,
-                              time_point now)
+void call_entry::record_refusal(const call_state& state,
+                                const member& owner,
+                                const owner_answer& answer,
+                                time_point now)
 {
     if (answer.reached)
-        return m_refusals.admitted(owner.rpc, state.refused_as());
+        return m_refusals.admitted(owner.rpc, state.refusal_key());
     const bool has_no_room =
         answer.end == call_end::not_run &&
         answer.reason == name_of(admission_verdict::queue_full);
-    if (has_no_room && (answer.told.is_pressed || m_worker.is_pressed()))
-        m_refusals.refused(owner.rpc, state.refused_as(), answer.retry_after,
+    if (has_no_room && (answer.report.is_pressed || m_worker.is_pressed()))
+        m_refusals.refused(owner.rpc, state.refusal_key(), answer.retry_after,
                            m_random.unit(), now);
 }
 
-void call_entry::note_end(const call_state& state,
-                          const whole_request& request,
-                          const owner_answer& answer)
+void call_entry::record_outcome(const call_state& state,
+                                const whole_request& request,
+                                const owner_answer& answer)
 {
     if (answer.end != call_end::answered && answer.end != call_end::cancelled)
         m_local.call_failed(answer.end == call_end::not_run &&
@@ -483,11 +487,11 @@
     if (answer.end != call_end::answered || is_failure(answer))
         m_local.runs().call_failed(state.call.request_id);
     const bool is_unknown = answer.end == call_end::unknown;
-    m_log.ended(state.call, state.begin,
-                {state.targets_reached, state.tried.size(),
-                 state.ended_at.size(),
-                 is_unknown ? fingerprint_of(request).text() : std::string()},
-                answer);
+    m_log.call_finished(
+        state.call, state.begin,
+        {state.targets_reached, state.tried.size(), state.crashed_at.size(),
+         is_unknown ? fingerprint_of(request).text() : std::string()},
+        answer);
 }
 
 } // namespace tillerhall
--- a/src/proxy/call_entry_peers.cpp
+++ b/src/proxy/call_entry_peers.cpp
@@ -17,43 +17,43 @@
 constexpr std::chrono::seconds idle_kept(10);
 // Three bodies of 60 KB on a link of 10 Mbit/s: an owner that takes longer to
 // tell its load has a full link.
-constexpr milliseconds question_timeout(150);
+constexpr milliseconds load_query_timeout(150);
 // An owner's answer needs a moment to come back before the time is over.
-constexpr milliseconds way_back(10);
+constexpr milliseconds response_margin(10);
 
 } // namespace
 
-std::optional<owner_word> call_entry::ask_peer(const member& owner)
+std::optional<owner_word> call_entry::query_load(const member& owner)
 {
-    auto answer = ask_owner(owner, load_question(m_names.request_id));
-    return answer ? std::optional(std::move(answer->told)) : std::nullopt;
+    auto answer = query_owner(owner, load_query(m_names.request_id));
+    return answer ? std::optional(std::move(answer->report)) : std::nullopt;
 }
 
-std::optional<duration> call_entry::claim_turn(const member& owner,
-                                               std::uint64_t bytes)
+std::optional<duration> call_entry::claim_transfer_slot(const member& owner,
+                                                        std::uint64_t bytes)
 {
-    const auto answer = ask_owner(owner, body_claim(m_names.request_id, bytes));
+    const auto answer =
+        query_owner(owner, transfer_slot_claim(m_names.request_id, bytes));
     return answer ? std::optional(answer->retry_after) : std::nullopt;
 }
 
-std::optional<owner_answer> call_entry::ask_owner(const member& owner,
-                                                  whole_request question)
+std::optional<owner_answer> call_entry::query_owner(const member& owner,
+                                                    whole_request query)
 {
     m_board.metrics.get("tillerhall_load_questions_total").add();
-    const auto deadline = steady_clock::now() + question_timeout;
-    auto stream = m_pool.take(owner.peer, question_timeout);
+    const auto deadline = steady_clock::now() + load_query_timeout;
+    auto stream = m_pool.take(owner.peer, load_query_timeout);
     if (!stream)
         return std::nullopt;
     cancel_scope scope;
-    auto result =
-        exchange(**stream, question,
-                 {deadline, m_names.request_id, load_question_id}, scope);
+    auto result = exchange(
+        **stream, query, {deadline, m_names.request_id, load_query_id}, scope);
     if (result.end != exchange_end::answered)
         return std::nullopt;
     if (result.reusable)
         m_pool.give_back(owner.peer, std::move(*stream), idle_kept);
     auto answer = from_hop_response(std::move(*result.response));
-    return answer.told.load ? std::optional(std::move(answer)) : std::nullopt;
+    return answer.report.load ? std::optional(std::move(answer)) : std::nullopt;
 }
 
 owner_answer call_entry::send_to_peer(received_request& request,
@@ -70,14 +70,14 @@
         m_pool.take(owner.peer, std::min<duration>(connect_timeout, left));
     if (!stream)
     {
-        m_report(owner.rpc);
+        m_report_unreachable(owner.rpc);
         failed.reason = stream.reason().detail();
         return failed;
     }
     now = steady_clock::now();
-    auto onward = state.call;
-    onward.deadline -= way_back;
-    if (now + least_time_left >= onward.deadline)
+    auto hop_call = state.call;
+    hop_call.deadline -= response_margin;
+    if (now + min_time_left >= hop_call.deadline)
     {
         failed.reason = "no time was left to send it";
         return failed;
@@ -86,7 +86,7 @@
     sent.version(11);
     sent.keep_alive(true);
     sent.content_length(sent.body().size());
-    write_hop_fields(sent, onward, now);
+    write_hop_fields(sent, hop_call, now);
     auto result = exchange(
         **stream, sent,
         {state.call.deadline, m_names.request_id, state.call.request_id},
@@ -97,7 +97,7 @@
         return from_hop_response(std::move(*result.response));
     if (result.end == exchange_end::unknown ||
         result.end == exchange_end::not_sent)
-        m_report(owner.rpc);
+        m_report_unreachable(owner.rpc);
     failed.reason = result.detail;
     failed.reached = result.end != exchange_end::not_sent;
     constexpr std::array ends{call_end::answered, call_end::not_run,
--- a/src/proxy/call_fingerprint.cpp
+++ b/src/proxy/call_fingerprint.cpp
@@ -11,11 +11,11 @@
 
 // 64 bits for each part: of a thousand calls that are named at once two share
 // a name once in 10^13 times.
-constexpr std::size_t part_digits = 16;
+constexpr std::size_t digest_part_digits = 16;
 
-std::string part(std::string_view text)
+std::string digest_part(std::string_view text)
 {
-    return digest_of(text).substr(0, part_digits);
+    return digest_of(text).substr(0, digest_part_digits);
 }
 
 } // namespace
@@ -27,23 +27,24 @@
     text += request[boost::beast::http::field::host];
     text += ' ';
     text += request.target();
-    return part(text);
+    return digest_part(text);
 }
 
 call_fingerprint fingerprint_of(const whole_request& request)
 {
-    return {head_fingerprint(request),
-            request.body().empty() ? std::string() : part(request.body())};
+    return {head_fingerprint(request), request.body().empty()
+                                           ? std::string()
+                                           : digest_part(request.body())};
 }
 
 std::optional<call_hold> hold_of(const suspect_calls& known,
                                  const whole_request& request,
-                                 const std::vector<address>& ended_at)
+                                 const std::vector<address>& crashed_at)
 {
-    if (ended_at.empty() &&
+    if (crashed_at.empty() &&
         (known.empty() || !known.knows_head(head_fingerprint(request))))
         return std::nullopt;
-    return known.hold_of(fingerprint_of(request).text(), ended_at,
+    return known.hold_of(fingerprint_of(request).text(), crashed_at,
                          wall_clock_ms());
 }
 
--- a/src/proxy/client_answers.cpp
+++ b/src/proxy/client_answers.cpp
@@ -15,9 +15,9 @@
 namespace http = boost::beast::http;
 
 // A node that starts or ends is passed over by new connections within this.
-constexpr milliseconds retry_elsewhere(200);
+constexpr milliseconds retry_elsewhere_after(200);
 // A client that comes back sooner meets the same queue.
-constexpr milliseconds least_retry(20);
+constexpr milliseconds min_retry_after(20);
 
 std::string seconds_text(duration span)
 {
@@ -50,15 +50,15 @@
     return problem(fault.status, "the request was refused", fault.detail, "");
 }
 
-whole_response client_answers::not_taken(const std::string& id,
-                                         const char* why) const
+whole_response client_answers::unavailable(const std::string& id,
+                                           const char* why) const
 {
     auto response = problem(503, "the call did not run", why, id);
-    response.set(http::field::retry_after, seconds_text(retry_elsewhere));
+    response.set(http::field::retry_after, seconds_text(retry_elsewhere_after));
     return response;
 }
 
-whole_response client_answers::not_known(const std::string& id) const
+whole_response client_answers::unauthorized(const std::string& id) const
 {
     auto response = problem(401, "no account holds this key",
                             "send one key: Authorization: Bearer KEY", id);
@@ -67,11 +67,11 @@
 }
 
 whole_response client_answers::over_quota(const std::string& id,
-                                          duration back) const
+                                          duration retry_after) const
 {
     auto response = problem(429, "the call did not run",
                             "the account has spent its quota", id);
-    response.set(http::field::retry_after, seconds_text(back));
+    response.set(http::field::retry_after, seconds_text(retry_after));
     return response;
 }
 
@@ -81,9 +81,9 @@
                    "no route of this version has that host and path", id);
 }
 
-whole_response client_answers::of(const std::string& id,
-                                  bool may_have_run,
-                                  owner_answer answer) const
+whole_response client_answers::response_to(const std::string& id,
+                                           bool may_have_run,
+                                           owner_answer answer) const
 {
     if (answer.end == call_end::answered)
     {
@@ -96,9 +96,9 @@
     if (answer.end == call_end::not_run && !may_have_run)
     {
         auto response = problem(503, "the call did not run", answer.reason, id);
-        response.set(
-            http::field::retry_after,
-            seconds_text(std::max<duration>(answer.retry_after, least_retry)));
+        response.set(http::field::retry_after,
+                     seconds_text(std::max<duration>(answer.retry_after,
+                                                     min_retry_after)));
         return response;
     }
     if (answer.end == call_end::timed_out)
--- a/src/proxy/entry_log.cpp
+++ b/src/proxy/entry_log.cpp
@@ -13,48 +13,49 @@
 {
 }
 
-call_begin entry_log::begun(time_point received)
+call_start entry_log::call_started(time_point received)
 {
-    const call_begin begin{.received = received,
+    const call_start begin{.received = received,
                            .waited = steady_clock::now() - received,
                            .busy_for = m_worker.busy_for()};
     m_waits.record(exact_ms(begin.waited));
-    if (m_was_pressed != m_worker.is_pressed())
-        note_pressure(begin.busy_for);
+    if (m_was_saturated != m_worker.is_pressed())
+        log_saturation(begin.busy_for);
     return begin;
 }
 
-void entry_log::note_pressure(duration busy_for)
+void entry_log::log_saturation(duration busy_for)
 {
-    m_was_pressed = !m_was_pressed;
+    m_was_saturated = !m_was_saturated;
     m_board.decisions.note(
-        m_was_pressed ? "processor_pressed" : "processor_relieved",
+        m_was_saturated ? "processor_pressed" : "processor_relieved",
         m_own.text(),
-        m_was_pressed ? "work has been standing"
-                      : "no work was standing for a second",
+        m_was_saturated ? "work has been standing"
+                        : "no work was standing for a second",
         {{"busy_ms", to_ms(busy_for)},
          {"calls_in_flight", m_board.calls_in_flight.load()}});
 }
 
-void entry_log::refused(const std::string& reason)
+void entry_log::call_refused(const std::string& reason)
 {
     m_board.metrics.get("tillerhall_refused_total", "reason=\"" + reason + "\"")
         .add();
 }
 
-void entry_log::ended(const owner_call& call,
-                      const call_begin& begin,
-                      const call_progress& progress,
-                      const owner_answer& answer)
+void entry_log::call_finished(const owner_call& call,
+                              const call_start& begin,
+                              const call_progress& progress,
+                              const owner_answer& answer)
 {
-    const auto of_service = "service=\"" + call.service + "\"";
+    const auto service_label = "service=\"" + call.service + "\"";
     m_board.metrics
-        .get("tillerhall_calls_total",
-             of_service + ",end=\"" + std::string(name_of(answer.end)) + "\"")
+        .get("tillerhall_calls_total", service_label + ",end=\"" +
+                                           std::string(name_of(answer.end)) +
+                                           "\"")
         .add();
     const auto took = to_ms(steady_clock::now() - begin.received);
     if (answer.end == call_end::answered)
-        return m_board.metrics.histogram("tillerhall_call_ms", of_service)
+        return m_board.metrics.histogram("tillerhall_call_ms", service_label)
             .record(static_cast<double>(took));
     m_board.call_lines.write(log_level::info, "call_failed",
                              {{"id", call.request_id},
@@ -66,9 +67,9 @@
                               {"busy_ms", to_ms(begin.busy_for)},
                               {"targets_reached", progress.targets_reached},
                               {"owners_tried", progress.owners_tried},
-                              {"targets_ended", progress.targets_ended},
-                              {"call", progress.call},
-                              {"load", answer.told.load.value_or(-1)},
+                              {"targets_ended", progress.targets_crashed},
+                              {"call", progress.fingerprint},
+                              {"load", answer.report.load.value_or(-1)},
                               {"routes", m_board.call_map.get()->version()}});
 }
 
--- a/src/proxy/owner_answer.cpp
+++ b/src/proxy/owner_answer.cpp
@@ -17,15 +17,15 @@
 constexpr std::array call_fields{
     hop_field::service,      hop_field::kind,         hop_field::rank,
     hop_field::origin,       hop_field::time_left_ms, hop_field::objective_ms,
-    hop_field::nested,       hop_field::elapsed_ms,   hop_field::trial,
+    hop_field::nested,       hop_field::elapsed_ms,   hop_field::probe,
     hop_field::account_rank, hop_field::account_name, hop_field::has_accounts};
 constexpr std::array answer_fields{
-    hop_field::pressed,         hop_field::end,
+    hop_field::saturated,       hop_field::end,
     hop_field::reached,         hop_field::load,
     hop_field::run_ms,          hop_field::slots,
     hop_field::link_backlog_ms, hop_field::reason,
-    hop_field::retry_after_ms,  hop_field::alike,
-    hop_field::target_ended};
+    hop_field::retry_after_ms,  hop_field::others_refuse,
+    hop_field::target_crashed};
 constexpr unsigned refusal_status = 503;
 
 template <class Number>
@@ -64,31 +64,32 @@
     return end_names[static_cast<std::size_t>(end)];
 }
 
-whole_request load_question(const std::string& id_field)
+whole_request load_query(const std::string& id_field)
 {
-    whole_request question(http::verb::get, "/", 11);
-    question.set(http::field::host, load_question_id); // HTTP/1.1 wants one
-    question.set(id_field, load_question_id);
-    question.set(hop_field::question, "load");
-    question.keep_alive(true);
-    return question;
+    whole_request query(http::verb::get, "/", 11);
+    query.set(http::field::host, load_query_id); // HTTP/1.1 wants one
+    query.set(id_field, load_query_id);
+    query.set(hop_field::query, "load");
+    query.keep_alive(true);
+    return query;
 }
 
-whole_request body_claim(const std::string& id_field, std::uint64_t bytes)
+whole_request transfer_slot_claim(const std::string& id_field,
+                                  std::uint64_t bytes)
 {
-    auto question = load_question(id_field);
-    question.set(hop_field::claim, std::to_string(bytes));
-    return question;
+    auto query = load_query(id_field);
+    query.set(hop_field::claim, std::to_string(bytes));
+    return query;
 }
 
-std::optional<std::uint64_t> claimed_bytes(const whole_request& question)
+std::optional<std::uint64_t> claimed_bytes(const whole_request& query)
 {
-    return number_in<std::uint64_t>(question[hop_field::claim]);
+    return number_in<std::uint64_t>(query[hop_field::claim]);
 }
 
-bool is_load_question(const whole_request& request)
+bool is_load_query(const whole_request& request)
 {
-    return request.count(hop_field::question) != 0;
+    return request.count(hop_field::query) != 0;
 }
 
 void write_hop_fields(whole_request& request,
@@ -116,8 +117,8 @@
         request.set(hop_field::account_name, *call.account);
         request.set(hop_field::account_rank, std::to_string(call.account_rank));
     }
-    if (call.is_trial)
-        request.set(hop_field::trial, "1");
+    if (call.is_probe)
+        request.set(hop_field::probe, "1");
 }
 
 std::optional<owner_call> take_hop_fields(received_request& request,
@@ -151,7 +152,7 @@
             number_in<std::uint32_t>(message[hop_field::account_rank])
                 .value_or(0);
     }
-    call.is_trial = message.count(hop_field::trial) != 0;
+    call.is_probe = message.count(hop_field::probe) != 0;
     for (const auto* name : call_fields)
         message.erase(name);
     return call;
@@ -168,22 +169,22 @@
     response.set(id_field, call.request_id);
     response.set(hop_field::end, name_of(answer.end));
     response.set(hop_field::reached, answer.reached ? "1" : "0");
-    if (answer.told.load)
-        response.set(hop_field::load, percent(*answer.told.load));
-    response.set(hop_field::run_ms, tenths(answer.told.run_ms));
-    response.set(hop_field::slots, tenths(answer.told.slots));
-    if (answer.told.incoming_bytes > 0)
+    if (answer.report.load)
+        response.set(hop_field::load, percent(*answer.report.load));
+    response.set(hop_field::run_ms, tenths(answer.report.run_ms));
+    response.set(hop_field::slots, tenths(answer.report.slots));
+    if (answer.report.incoming_bytes > 0)
         response.set(hop_field::incoming,
-                     std::to_string(answer.told.incoming_bytes));
-    if (answer.told.link_backlog > milliseconds::zero())
+                     std::to_string(answer.report.incoming_bytes));
+    if (answer.report.link_backlog > milliseconds::zero())
         response.set(hop_field::link_backlog_ms,
-                     std::to_string(answer.told.link_backlog.count()));
-    if (answer.told.is_pressed)
-        response.set(hop_field::pressed, "1");
-    if (answer.elsewhere_alike)
-        response.set(hop_field::alike, "1");
-    if (answer.target_ended)
-        response.set(hop_field::target_ended, "1");
+                     std::to_string(answer.report.link_backlog.count()));
+    if (answer.report.is_pressed)
+        response.set(hop_field::saturated, "1");
+    if (answer.others_would_refuse)
+        response.set(hop_field::others_refuse, "1");
+    if (answer.target_crashed)
+        response.set(hop_field::target_crashed, "1");
     if (!answer.reason.empty())
         response.set(hop_field::reason, answer.reason);
     if (answer.retry_after > duration::zero())
@@ -205,23 +206,23 @@
         return answer;
     }
     answer.end = static_cast<call_end>(found - end_names.begin());
-    answer.elsewhere_alike = response.count(hop_field::alike) != 0;
-    answer.target_ended = response.count(hop_field::target_ended) != 0;
+    answer.others_would_refuse = response.count(hop_field::others_refuse) != 0;
+    answer.target_crashed = response.count(hop_field::target_crashed) != 0;
     answer.reason = std::string(response[hop_field::reason]);
     answer.retry_after = milliseconds(
         number_in<std::int64_t>(response[hop_field::retry_after_ms])
             .value_or(0));
     constexpr double hundred = 100;
     if (const auto load = number_in<std::int64_t>(response[hop_field::load]))
-        answer.told.load = static_cast<double>(*load) / hundred;
-    answer.told.run_ms = from_tenths(response[hop_field::run_ms]);
-    answer.told.slots = from_tenths(response[hop_field::slots]);
-    answer.told.incoming_bytes =
+        answer.report.load = static_cast<double>(*load) / hundred;
+    answer.report.run_ms = from_tenths(response[hop_field::run_ms]);
+    answer.report.slots = from_tenths(response[hop_field::slots]);
+    answer.report.incoming_bytes =
         number_in<std::uint64_t>(response[hop_field::incoming]).value_or(0);
-    answer.told.link_backlog = milliseconds(
+    answer.report.link_backlog = milliseconds(
         number_in<std::int64_t>(response[hop_field::link_backlog_ms])
             .value_or(0));
-    answer.told.is_pressed = response.count(hop_field::pressed) != 0;
+    answer.report.is_pressed = response.count(hop_field::saturated) != 0;
     if (answer.end != call_end::answered)
         return answer;
     for (const auto* name : answer_fields)
--- a/src/proxy/owner_choice.cpp
+++ b/src/proxy/owner_choice.cpp
@@ -13,46 +13,46 @@
 
 // On a slow link, 10 Mbit/s, this takes 13 ms: more
 // than to ask costs (a round trip between domains, 3 ms, and the work).
-constexpr std::size_t large_body = 16 * 1024;
+constexpr std::size_t large_body_bytes = 16 * 1024;
 // Of two the better one is rarely bad (Mitzenmacher, 2001). A third one is
 // from another domain, for when the links of this one are full.
-constexpr std::size_t most_asked = 3;
+constexpr std::size_t max_queried = 3;
 // If nobody answers by then, all links are full, or this node's own is. Behind
 // the first answer the others have this long: who takes longer has about a body
 // (60 KB at 10 Mbit/s) more before it on its link.
-constexpr milliseconds first_answer(200);
-constexpr milliseconds later_answers(50);
+constexpr milliseconds large_first_wait(200);
+constexpr milliseconds large_later_wait(50);
 // Before a small call: a round trip between domains and the work on two hosts
 // with a tenth of a core take some 5 ms. Never more than this part of the
 // call's objective, of which calls by targets have 400 ms or less.
-constexpr milliseconds first_load(20);
-constexpr milliseconds later_loads(4);
-constexpr int asking_part = 20;
+constexpr milliseconds small_first_wait(20);
+constexpr milliseconds small_later_wait(4);
+constexpr int query_wait_divisor = 20;
 // A host without power or cut off does not come back sooner than in seconds,
 // and each question to it takes the whole time for asking.
-constexpr milliseconds silent_for(1'000);
+constexpr milliseconds unresponsive_pause(1'000);
 
 // A body that takes more of its objective on the way is mostly late, and what
 // is behind it on that link is late for it. The calls that targets make have
 // such objectives (200 of 1000 ms), and must not wait longer either.
-constexpr int way_part = 5;
+constexpr int transfer_time_divisor = 5;
 // A turn comes free each 70 ms at a link of 7 Mbit/s with bodies of 60 KB. So
 // long it is waited for; who is sent away comes back as one more of many.
-constexpr int turn_part = 8;
+constexpr int slot_wait_divisor = 8;
 
 } // namespace
 
 /** How long answers are waited for. */
-struct owner_choice::patience
+struct owner_choice::wait_limits
 {
     duration first; ///< for the first of them
     duration later; ///< for the others, behind the first
 };
 
 /** One question to several owners; outlives the asking. */
-struct owner_choice::inquiry
+struct owner_choice::pending_queries
 {
-    inquiry(boost::asio::io_context& io, const patience& waits)
+    pending_queries(boost::asio::io_context& io, const wait_limits& waits)
         : timer(io)
         , until(steady_clock::now() + waits.first)
         , later(waits.later)
@@ -68,7 +68,7 @@
     boost::asio::steady_timer timer;
     time_point until;
     duration later;
-    std::size_t open = 0;
+    std::size_t pending = 0;
     std::vector<member_ptr> answered;
 };
 
@@ -76,14 +76,14 @@
                            target_board& targets,
                            const target_owner& local,
                            worker& on,
-                           asker ask,
-                           claimer claim)
+                           load_query_fn query_load,
+                           slot_claim_fn claim_slot)
     : m_config(config)
     , m_targets(targets)
     , m_local(local)
     , m_worker(on)
-    , m_ask(std::move(ask))
-    , m_claim(std::move(claim))
+    , m_query_load(std::move(query_load))
+    , m_claim_slot(std::move(claim_slot))
     , m_random(entropy_seed())
 {
 }
@@ -97,27 +97,31 @@
     const auto best = [&](const std::vector<member_ptr>& among)
     { return m_targets.choose_among(among, avoid, from, steady_clock::now()); };
     const auto answer = static_cast<std::size_t>(m_targets.answer_bytes(work));
-    if (std::max(bytes, answer) < large_body)
+    if (std::max(bytes, answer) < large_body_bytes)
         return {choose_small(candidates, avoid, from)};
-    const auto asked = whom_to_ask(candidates, avoid, from);
-    if (asked.size() < 2)
-        return {best(asked)};
-    const auto answered = ask(asked, {first_answer, later_answers});
-    if (bytes < large_body)
-        return {best(answered.empty() ? asked : answered)};
+    const auto queried = choose_owners_to_query(candidates, avoid, from);
+    if (queried.size() < 2)
+        return {best(queried)};
+    const auto answered =
+        query_loads(queried, {large_first_wait, large_later_wait});
+    if (bytes < large_body_bytes)
+        return {best(answered.empty() ? queried : answered)};
     if (answered.empty())
-        return {nullptr, first_answer};
+        return {nullptr, large_first_wait};
     const auto owner = best(answered);
-    const auto way = m_targets.time_on_link(*owner, from, steady_clock::now());
-    if (way > work.objective / way_part)
-        return {nullptr, way};
-    return claim_turn(answered, from);
+    const auto transfer_time =
+        m_targets.time_on_link(*owner, from, steady_clock::now());
+    if (transfer_time > work.objective / transfer_time_divisor)
+        return {nullptr, transfer_time};
+    return claim_transfer_slot(answered, from);
 }
 
-chosen_owner owner_choice::claim_turn(const std::vector<member_ptr>& answered,
-                                      const call_origin& from)
+chosen_owner
+owner_choice::claim_transfer_slot(const std::vector<member_ptr>& answered,
+                                  const call_origin& from)
 {
-    const auto until = steady_clock::now() + from.work.objective / turn_part;
+    const auto until =
+        steady_clock::now() + from.work.objective / slot_wait_divisor;
     while (true)
     {
         std::vector<address> full;
@@ -127,7 +131,7 @@
         {
             const auto wait = owner->rpc == m_config.own
                                   ? std::optional(duration::zero())
-                                  : m_claim(*owner, from.bytes);
+                                  : m_claim_slot(*owner, from.bytes);
             if (wait && *wait == duration::zero())
                 return {owner};
             soonest = std::min(soonest, wait.value_or(soonest));
@@ -151,28 +155,29 @@
         auto& seen = outlooks.emplace_back(m_targets.outlook(*each, from, now));
         const bool was_tried =
             std::ranges::find(avoid, each->rpc) != avoid.end();
-        seen.is_left_out = was_tried || is_silent(each->rpc, now);
+        seen.is_left_out = was_tried || is_unresponsive(each->rpc, now);
     }
     return outlooks;
 }
 
 std::vector<member_ptr>
-owner_choice::ask_for_load(const std::vector<member_ptr>& candidates,
-                           const std::vector<owner_outlook>& outlooks,
-                           const member_ptr& favourite,
-                           const call_origin& from)
+owner_choice::query_for_room(const std::vector<member_ptr>& candidates,
+                             const std::vector<owner_outlook>& outlooks,
+                             const member_ptr& preferred,
+                             const call_origin& from)
 {
     const auto position = static_cast<std::size_t>(
-        std::ranges::find(candidates, favourite) - candidates.begin());
-    std::vector<member_ptr> asked;
-    for (const auto i : m_inquiry.whom_to_ask(outlooks, position,
-                                              steady_clock::now(), m_random))
-        asked.push_back(candidates[i]);
-    if (asked.empty())
-        return asked;
-    const duration most = from.work.objective / asking_part;
-    return ask(asked, {std::min<duration>(first_load, most),
-                       std::min<duration>(later_loads, most)});
+        std::ranges::find(candidates, preferred) - candidates.begin());
+    std::vector<member_ptr> queried;
+    for (const auto i : m_load_inquiry.whom_to_ask(
+             outlooks, position, steady_clock::now(), m_random))
+        queried.push_back(candidates[i]);
+    if (queried.empty())
+        return queried;
+    const duration max_wait = from.work.objective / query_wait_divisor;
+    return query_loads(queried,
+                       {std::min<duration>(small_first_wait, max_wait),
+                        std::min<duration>(small_later_wait, max_wait)});
 }
 
 member_ptr owner_choice::choose_small(const std::vector<member_ptr>& candidates,
@@ -181,53 +186,53 @@
 {
     const auto best = [&](const std::vector<member_ptr>& among)
     { return m_targets.choose_among(among, avoid, from, steady_clock::now()); };
-    const auto remembered = best(candidates);
+    const auto best_known = best(candidates);
     if (candidates.size() <= load_inquiry::small_service)
-        return remembered;
+        return best_known;
     const auto outlooks = outlooks_of(candidates, avoid, from);
     std::vector<member_ptr> answered;
     // Where a first try found no room a second one that asks adds to the load.
     if (avoid.empty())
-        answered = ask_for_load(candidates, outlooks, remembered, from);
+        answered = query_for_room(candidates, outlooks, best_known, from);
     // A full owner that is fast looks better by its time than a slow free one.
-    auto roomy = answered;
-    std::erase_if(roomy, [&](const member_ptr& each)
+    auto with_room = answered;
+    std::erase_if(with_room, [&](const member_ptr& each)
                   { return !m_targets.has_room(each->rpc); });
     for (std::size_t i = 0; i < candidates.size(); ++i)
         if (outlooks[i].is_known && outlooks[i].has_room)
-            roomy.push_back(candidates[i]);
-    for (const auto& among : {roomy, answered})
+            with_room.push_back(candidates[i]);
+    for (const auto& among : {with_room, answered})
         if (const auto chosen = best(among))
             return chosen;
-    return remembered;
+    return best_known;
 }
 
-bool owner_choice::is_silent(const address& owner, time_point now) const
+bool owner_choice::is_unresponsive(const address& owner, time_point now) const
 {
-    const auto found = m_silent.find(owner);
-    return found != m_silent.end() && now < found->second;
+    const auto found = m_unresponsive_until.find(owner);
+    return found != m_unresponsive_until.end() && now < found->second;
 }
 
-void owner_choice::was_silent(const address& owner, time_point now)
+void owner_choice::mark_unresponsive(const address& owner, time_point now)
 {
-    std::erase_if(m_silent,
+    std::erase_if(m_unresponsive_until,
                   [&](const auto& each) { return each.second <= now; });
-    m_silent[owner] = now + silent_for;
+    m_unresponsive_until[owner] = now + unresponsive_pause;
 }
 
 std::vector<member_ptr>
-owner_choice::whom_to_ask(const std::vector<member_ptr>& candidates,
-                          std::vector<address> avoid,
-                          const call_origin& from)
+owner_choice::choose_owners_to_query(const std::vector<member_ptr>& candidates,
+                                     std::vector<address> avoid,
+                                     const call_origin& from)
 {
-    std::vector<member_ptr> asked;
+    std::vector<member_ptr> queried;
     const auto add = [&](const member_ptr& owner)
     {
         avoid.push_back(owner->rpc);
-        asked.push_back(owner);
+        queried.push_back(owner);
     };
-    std::vector<member_ptr> far;
-    std::ranges::copy_if(candidates, std::back_inserter(far),
+    std::vector<member_ptr> remote;
+    std::ranges::copy_if(candidates, std::back_inserter(remote),
                          [&](const member_ptr& each)
                          {
                              return each->place != m_config.place &&
@@ -235,9 +240,9 @@
                                         avoid.end();
                          });
     // Any of them: by the policy all nodes would ask the same one.
-    if (!far.empty())
-        add(far[m_random.below(far.size())]);
-    while (asked.size() < most_asked)
+    if (!remote.empty())
+        add(remote[m_random.below(remote.size())]);
+    while (queried.size() < max_queried)
     {
         const auto next = m_targets.choose_among(candidates, avoid, from,
                                                  steady_clock::now());
@@ -245,41 +250,44 @@
             break;
         add(next);
     }
-    return asked;
+    return queried;
 }
 
-std::vector<member_ptr> owner_choice::ask(const std::vector<member_ptr>& owners,
-                                          const patience& waits)
+std::vector<member_ptr>
+owner_choice::query_loads(const std::vector<member_ptr>& owners,
+                          const wait_limits& waits)
 {
-    const auto all = std::make_shared<inquiry>(m_worker.io(), waits);
-    all->open = owners.size();
+    const auto queries =
+        std::make_shared<pending_queries>(m_worker.io(), waits);
+    queries->pending = owners.size();
     for (const auto& each : owners)
-        m_worker.spawn([this, all, each] { ask_one(each, *all); });
-    while (all->open > 0 && steady_clock::now() < all->until)
+        m_worker.spawn([this, queries, each] { query_one(each, *queries); });
+    while (queries->pending > 0 && steady_clock::now() < queries->until)
     {
-        all->timer.expires_at(all->until);
+        queries->timer.expires_at(queries->until);
         boost::system::error_code ignored;
-        all->timer.async_wait(await{ignored});
+        queries->timer.async_wait(await{ignored});
     }
-    return all->answered;
+    return queries->answered;
 }
 
-void owner_choice::ask_one(const member_ptr& owner, inquiry& all)
+void owner_choice::query_one(const member_ptr& owner, pending_queries& queries)
 {
     const auto begin = steady_clock::now();
-    const auto word = owner->rpc == m_config.own ? std::optional(m_local.word())
-                                                 : m_ask(*owner);
+    const auto report = owner->rpc == m_config.own
+                            ? std::optional(m_local.current_load())
+                            : m_query_load(*owner);
     const auto now = steady_clock::now();
-    --all.open;
-    if (word)
+    --queries.pending;
+    if (report)
     {
-        m_targets.told(owner->rpc, *word, now - begin, now);
-        all.answered_by(owner);
-        m_inquiry.answered(word->load.value_or(0) >= 1);
+        m_targets.told(owner->rpc, *report, now - begin, now);
+        queries.answered_by(owner);
+        m_load_inquiry.answered(report->load.value_or(0) >= 1);
     }
     else
-        was_silent(owner->rpc, now);
-    all.timer.cancel();
+        mark_unresponsive(owner->rpc, now);
+    queries.timer.cancel();
 }
 
 } // namespace tillerhall
--- a/src/proxy/run_register.cpp
+++ b/src/proxy/run_registry.cpp
@@ -1,9 +1,9 @@
-#include "tillerhall/proxy/run_register.hpp"
+#include "tillerhall/proxy/run_registry.hpp"
 
 namespace tillerhall
 {
 
-run_register::run_map::iterator run_register::find_maker(std::string_view id)
+run_registry::run_map::iterator run_registry::find_parent(std::string_view id)
 {
     for (auto cut = id.rfind('.'); cut != std::string_view::npos;
          cut = id.rfind('.'))
@@ -16,22 +16,22 @@
     return m_runs.end();
 }
 
-std::optional<work_class> run_register::maker_of(std::string_view id)
+std::optional<work_class> run_registry::parent_of(std::string_view id)
 {
-    const auto found = find_maker(id);
+    const auto found = find_parent(id);
     if (found == m_runs.end())
         return std::nullopt;
-    m_ids_tell = true;
+    m_ids_name_parents = true;
     return found->second.work;
 }
 
-void run_register::call_failed(std::string_view id)
+void run_registry::call_failed(std::string_view id)
 {
-    if (const auto found = find_maker(id); found != m_runs.end())
-        found->second.lost_a_call = true;
+    if (const auto found = find_parent(id); found != m_runs.end())
+        found->second.nested_call_failed = true;
 }
 
-std::vector<const whole_request*> run_register::under_way() const
+std::vector<const whole_request*> run_registry::active_requests() const
 {
     std::vector<const whole_request*> requests;
     requests.reserve(m_runs.size());
--- a/src/proxy/run_evidence.cpp
+++ b/src/proxy/run_statistics.cpp
@@ -1,4 +1,4 @@
-#include "tillerhall/proxy/run_evidence.hpp"
+#include "tillerhall/proxy/run_statistics.hpp"
 
 namespace tillerhall
 {
@@ -13,29 +13,30 @@
 
 } // namespace
 
-void run_evidence::use(const std::string& id)
+void run_statistics::set_target(const std::string& id)
 {
     if (id == m_target_id)
         return;
     m_target_id = id;
-    m_taken = 0;
+    m_started = 0;
     m_counts.clear();
 }
 
-void run_evidence::taken(const std::string& id)
+void run_statistics::run_started(const std::string& id)
 {
-    use(id);
-    ++m_taken;
+    set_target(id);
+    ++m_started;
 }
 
-void run_evidence::ended(const std::string& id,
-                         const work_class& work,
-                         const owner_answer& answer,
-                         const run_end& how)
+void run_statistics::run_finished(const std::string& id,
+                                  const work_class& work,
+                                  const owner_answer& answer,
+                                  const run_context& context)
 {
     const bool good = is_good(answer);
     if (id != m_target_id || answer.end == call_end::not_run ||
-        answer.end == call_end::cancelled || (!good && how.lost_a_call))
+        answer.end == call_end::cancelled ||
+        (!good && context.nested_call_failed))
         return;
     auto& counts = m_counts[work];
     // A run that its time ended tells of its pace, not that it would fail.
@@ -45,8 +46,8 @@
     if (!was_cut && !good)
         ++counts.failed;
     // A failure may come early, so its time tells nothing.
-    if (!how.is_cold && (good || was_cut))
-        ++counts.took[run_counts::bucket_of(how.took)];
+    if (!context.is_cold && (good || was_cut))
+        ++counts.took[run_counts::bucket_of(context.took)];
 }
 
 } // namespace tillerhall
--- a/src/proxy/target_owner.cpp
+++ b/src/proxy/target_owner.cpp
@@ -16,56 +16,56 @@
 // is refused by a full backlog or a target that hangs.
 constexpr milliseconds connect_timeout(300);
 // Idle connections kept to the target; more than its slots are never used.
-constexpr std::size_t most_idle = 32;
+constexpr std::size_t max_idle = 32;
 // A target that names no time closes idle connections after this, at least.
-constexpr std::chrono::seconds idle_untold(4);
+constexpr std::chrono::seconds default_idle_timeout(4);
 // The target closes at the time it told; what is sent later is lost.
 constexpr milliseconds idle_margin(1'000);
 // A process takes longer to start again; all runs that its end cut short are
 // told of it within this.
-constexpr milliseconds least_time_between_ends(500);
+constexpr milliseconds min_crash_interval(500);
 // Calls that wait at once; the wait limit of each call binds before this.
-constexpr std::int64_t most_waiting = 512;
-constexpr std::chrono::seconds longest_wait(60);
+constexpr std::int64_t max_queued_calls = 512;
+constexpr std::chrono::seconds max_wait(60);
 // An order to send nothing more to the targets of a failure domain.
 constexpr const char* domain_drained = "domain_drained";
-constexpr unsigned misdirected = 421;
-constexpr unsigned run_failed = 500;
+constexpr unsigned status_misdirected = 421;
+constexpr unsigned status_server_error = 500;
 // What is served late costs a place that a call in time could have. Of a half,
 // a quarter, an eighth and a sixteenth of the objective the last served most in
 // time.
-constexpr int wait_part = 16;
+constexpr int wait_divisor = 16;
 // A nested call that is refused fails a run that already holds a place
 // elsewhere, so it may wait longer. A third is 40 of 120 ms: with 30 ms runs
 // failed for nothing, with 200 ms the calls of clients were refused first.
-constexpr int nested_wait_part = 3;
+constexpr int nested_wait_divisor = 3;
 // In an overload those who came back took the places of those who came first,
 // who came back in their turn: half of what was served came late. So what can
 // no longer be in time goes behind all that can. Longer than any objective.
-constexpr std::chrono::minutes behind_all_in_time(10);
+constexpr std::chrono::minutes late_call_penalty(10);
 // Statuses by which a client is promised that its call did not run.
-constexpr std::array promising_statuses{408U, 421U, 429U, 503U};
+constexpr std::array not_run_statuses{408U, 421U, 429U, 503U};
 
 admission_limits limits_for(std::int64_t slots)
 {
     admission_limits limits;
     limits.in_flight = slots;
-    limits.queue = most_waiting;
-    limits.queue_wait = longest_wait;
+    limits.queue = max_queued_calls;
+    limits.queue_wait = max_wait;
     return limits;
 }
 
 /** @return how long a call may be expected to wait before it is refused. */
 duration most_wait(const owner_call& call)
 {
-    return call.objective / (call.nested ? nested_wait_part : wait_part);
+    return call.objective / (call.nested ? nested_wait_divisor : wait_divisor);
 }
 
 /** @return whether a whole run ended; a failed one may have ended early. */
-bool ran_well(const owner_answer& answer)
+bool is_good_run(const owner_answer& answer)
 {
     return answer.end == call_end::answered &&
-           answer.response->result_int() < run_failed;
+           answer.response->result_int() < status_server_error;
 }
 
 bool is_success(const whole_response& response)
@@ -89,8 +89,8 @@
     , m_board(board)
     , m_targets(targets)
     , m_worker(on)
-    , m_places(limits_for(1))
-    , m_pool(on.io(), most_idle, own_ip)
+    , m_admission(limits_for(1))
+    , m_pool(on.io(), max_idle, own_ip)
     , m_waits(board.metrics.histogram(wait_metric, "from=\"peer\""))
 {
 }
@@ -99,76 +99,77 @@
 {
     if (const auto* target = m_targets.in_use())
     {
-        m_places.set_limits(limits_for(target->slots));
-        m_evidence.use(target->start());
+        m_admission.set_limits(limits_for(target->slots));
+        m_run_stats.set_target(target->start());
     }
-    m_up = true;
+    m_is_up = true;
 }
 
 bool target_owner::takes_calls() const
 {
-    return m_targets.in_use() != nullptr && m_up &&
+    return m_targets.in_use() != nullptr && m_is_up &&
            m_board.phase != node_phase::ending;
 }
 
-owner_word target_owner::word() const
+owner_word target_owner::current_load() const
 {
     const auto* target = m_targets.in_use();
-    owner_word told;
+    owner_word report;
     // Without runs the load of one that takes no calls would attract them all.
-    told.load =
-        takes_calls() ? m_places.load() : std::max(1.0, m_places.load());
-    told.slots = target == nullptr ? 0 : static_cast<double>(target->slots);
+    report.load =
+        takes_calls() ? m_admission.load() : std::max(1.0, m_admission.load());
+    report.slots = target == nullptr ? 0 : static_cast<double>(target->slots);
     const auto now = steady_clock::now();
     if (const double rate = cold_rate(now); rate > 0)
     {
         // Entries take it for as small as it is while it is cold.
-        const std::chrono::duration<double> run = m_places.mean_run();
-        told.slots = std::min(told.slots, std::max(1.0, rate * run.count()));
-        told.load = std::max(*told.load, m_cold.used(rate, now));
+        const std::chrono::duration<double> run = m_admission.mean_run();
+        report.slots =
+            std::min(report.slots, std::max(1.0, rate * run.count()));
+        report.load = std::max(*report.load, m_cold_limiter.used(rate, now));
     }
-    told.incoming_bytes = m_incoming.bytes();
-    told.is_pressed = m_worker.is_pressed();
-    told.link_backlog =
+    report.incoming_bytes = m_incoming.bytes();
+    report.is_pressed = m_worker.is_pressed();
+    report.link_backlog =
         std::chrono::duration_cast<milliseconds>(link_backlog());
-    return told;
+    return report;
 }
 
-owner_word target_owner::word_on(const work_class& work) const
+owner_word target_owner::current_load_for(const work_class& work) const
 {
     constexpr double ms_per_s = 1000;
     const std::chrono::duration<double> run =
         m_run_times.of(work, duration::zero());
-    auto told = word();
-    told.run_ms = run.count() * ms_per_s;
-    return told;
+    auto report = current_load();
+    report.run_ms = run.count() * ms_per_s;
+    return report;
 }
 
-void target_owner::call_failed(bool for_want_of_room)
+void target_owner::call_failed(bool no_capacity)
 {
-    m_shedder.call_failed(for_want_of_room, steady_clock::now());
+    m_shedder.call_failed(no_capacity, steady_clock::now());
 }
 
 duration target_owner::link_backlog() const
 {
     if (m_link == nullptr)
         return duration::zero();
-    return m_link->backlog() + m_link->time_of(m_promised.bytes());
+    return m_link->backlog() + m_link->time_of(m_reserved_answers.bytes());
 }
 
 std::uint64_t target_owner::large_answer(const work_class& work) const
 {
-    const auto bytes = static_cast<std::uint64_t>(m_answers.of(work, 0));
+    const auto bytes = static_cast<std::uint64_t>(m_answer_sizes.of(work, 0));
     return bytes < link_schedule::large_bytes ? 0 : bytes;
 }
 
 duration target_owner::expected_run(const owner_call& call) const
 {
-    return m_run_times.expected(call.work(), m_places.mean_run());
+    return m_run_times.expected(call.work(), m_admission.mean_run());
 }
 
 std::optional<duration>
-target_owner::link_full_for(const owner_call& call) const
+target_owner::excess_link_wait(const owner_call& call) const
 {
     const auto bytes = large_answer(call.work());
     if (m_link == nullptr || bytes == 0)
@@ -189,17 +190,17 @@
     owner_answer refused;
     refused.end = call_end::not_run;
     refused.reason = std::move(reason);
-    refused.retry_after = m_places.retry_after();
-    refused.told = word_on(call.work());
+    refused.retry_after = m_admission.retry_after();
+    refused.report = current_load_for(call.work());
     return refused;
 }
 
-bool target_owner::is_closed(const target_report& target) const
+bool target_owner::is_release_closed(const target_report& target) const
 {
     return m_board.rollouts.get()->is_closed(m_service, target.release);
 }
 
-bool target_owner::is_drained() const
+bool target_owner::is_domain_drained() const
 {
     return m_board.drains.get()->contains(m_domain);
 }
@@ -214,7 +215,7 @@
 duration target_owner::cold_wait(time_point now) const
 {
     const double rate = cold_rate(now);
-    return rate > 0 ? m_cold.wait(rate, now) : duration::zero();
+    return rate > 0 ? m_cold_limiter.wait(rate, now) : duration::zero();
 }
 
 owner_answer target_owner::refuse_cold(const owner_call& call,
@@ -225,19 +226,21 @@
     return refused;
 }
 
-bool target_owner::may_try(const owner_call& call, const call_hold& hold) const
+bool target_owner::may_probe(const owner_call& call,
+                             const call_hold& quarantine) const
 {
-    return call.is_trial && m_trials == 0 && hold.may_be_tried(true);
+    return call.is_probe && m_active_probes == 0 &&
+           quarantine.may_be_tried(true);
 }
 
-owner_answer target_owner::refuse_held(const owner_call& call,
-                                       const call_hold& hold) const
+owner_answer target_owner::refuse_quarantined(const owner_call& call,
+                                              const call_hold& quarantine) const
 {
-    auto held = refuse(call, ends_its_targets);
-    if (!call.is_trial)
-        held.retry_after = hold.left;
-    held.elsewhere_alike = true;
-    return held;
+    auto refused = refuse(call, ends_its_targets);
+    if (!call.is_probe)
+        refused.retry_after = quarantine.left;
+    refused.others_would_refuse = true;
+    return refused;
 }
 
 owner_answer target_owner::client_left(const owner_call& call) const
@@ -253,7 +256,7 @@
     const auto due = now + call.objective - call.elapsed;
     const auto run = expected_run(call);
     const bool can_be_in_time = call.nested || now + run < due;
-    return can_be_in_time ? due : now + call.objective + behind_all_in_time;
+    return can_be_in_time ? due : now + call.objective + late_call_penalty;
 }
 
 std::optional<owner_answer>
@@ -262,9 +265,9 @@
     const auto* target = m_targets.in_use();
     if (target == nullptr)
         return refuse(call, "no_target_takes_work");
-    if (is_closed(*target))
+    if (is_release_closed(*target))
         return refuse(call, "release_closed");
-    if (is_drained())
+    if (is_domain_drained())
         return refuse(call, domain_drained);
     const auto cold = cold_wait(steady_clock::now());
     if (cold > duration::zero())
@@ -280,33 +283,33 @@
         return refuse(call, "not_the_owner_of_this_service");
     if (auto refused = refusal_to_send(call))
         return std::move(*refused);
-    if (!m_up)
+    if (!m_is_up)
         return refuse(call, "target_down");
     if (m_board.phase == node_phase::ending)
         return refuse(call, "node_ending");
     if (m_shedder.sheds(m_random.unit(), steady_clock::now()))
     {
         auto shed = refuse(call, "runs_fail_further_down");
-        shed.elsewhere_alike = true;
+        shed.others_would_refuse = true;
         return shed;
     }
-    if (const auto full = link_full_for(call))
+    if (const auto excess_wait = excess_link_wait(call))
     {
         auto refused = refuse(call, "link_full");
-        refused.retry_after = *full;
+        refused.retry_after = *excess_wait;
         return refused;
     }
     const auto verdict =
-        m_places.acquire(m_worker.io(), {.deadline = call.deadline,
-                                         .rank = call.urgency(),
-                                         .due = due(call),
-                                         .most_wait = most_wait(call),
-                                         .run = expected_run(call),
-                                         .scope = &scope});
+        m_admission.acquire(m_worker.io(), {.deadline = call.deadline,
+                                            .rank = call.urgency(),
+                                            .due = due(call),
+                                            .most_wait = most_wait(call),
+                                            .run = expected_run(call),
+                                            .scope = &scope});
     if (scope.is_cancelled())
     {
         if (verdict == admission_verdict::run)
-            m_places.release(m_places.mean_run());
+            m_admission.release(m_admission.mean_run());
         return client_left(call);
     }
     if (verdict != admission_verdict::run)
@@ -314,50 +317,51 @@
     // What holds of the target may have changed while the call waited.
     if (auto refused = refusal_to_send(call))
     {
-        m_places.release(m_places.mean_run());
+        m_admission.release(m_admission.mean_run());
         return std::move(*refused);
     }
     const auto* target = m_targets.in_use();
     // Asked behind all waiting: the news may have come meanwhile.
-    const auto hold = hold_of(*m_board.suspects.get(), request);
-    if (hold && !may_try(call, *hold))
+    const auto quarantine = hold_of(*m_board.suspects.get(), request);
+    if (quarantine && !may_probe(call, *quarantine))
     {
-        m_places.release(m_places.mean_run());
-        return refuse_held(call, *hold);
+        m_admission.release(m_admission.mean_run());
+        return refuse_quarantined(call, *quarantine);
     }
-    const trial_place trial(m_trials, hold ? 1 : 0);
+    const probe_guard probe(m_active_probes, quarantine ? 1 : 0);
     const auto begin = steady_clock::now();
-    const run_register::run running(m_runs, call.request_id, call.work(),
+    const run_registry::run running(m_runs, call.request_id, call.work(),
                                     request);
     const auto start = target->start();
-    m_evidence.taken(start);
-    m_cold.sent(begin);
+    m_run_stats.run_started(start);
+    m_cold_limiter.sent(begin);
     const bool is_cold = m_targets.is_cold(begin);
-    const byte_backlog::body promised(&m_promised, large_answer(call.work()));
+    const byte_backlog::body reserved(&m_reserved_answers,
+                                      large_answer(call.work()));
     auto answer = send(request, call, target_report(*target), scope);
     const auto took = answer.end == call_end::answered
                           ? steady_clock::now() - begin
-                          : m_places.mean_run();
-    m_places.release(took);
-    m_evidence.ended(
+                          : m_admission.mean_run();
+    m_admission.release(took);
+    m_run_stats.run_finished(
         start, call.work(), answer,
-        {steady_clock::now() - begin, is_cold, running.lost_a_call()});
-    if (ran_well(answer))
+        {steady_clock::now() - begin, is_cold, running.nested_call_failed()});
+    if (is_good_run(answer))
     {
         m_run_times.ran(call.work(), took);
-        m_answers.answered(call.work(), answer.response->body().size());
-        note_good_run(request, hold.has_value());
+        m_answer_sizes.answered(call.work(), answer.response->body().size());
+        record_good_run(request, quarantine.has_value());
     }
     if (answer.end == call_end::answered)
-        m_shedder.ran(answer.response->result_int() == run_failed,
+        m_shedder.ran(answer.response->result_int() == status_server_error,
                       steady_clock::now());
-    answer.told = word_on(call.work());
+    answer.report = current_load_for(call.work());
     return answer;
 }
 
-whole_request target_owner::onward(const whole_request& request,
-                                   const owner_call& call,
-                                   const target_report& target) const
+whole_request target_owner::request_to_target(const whole_request& request,
+                                              const owner_call& call,
+                                              const target_report& target) const
 {
     whole_request sent(request);
     remove_hop_fields(sent);
@@ -390,9 +394,9 @@
     auto stream = m_pool.take(target.where, connect_timeout);
     if (!stream)
     {
-        m_up = false;
-        if (m_news)
-            m_news();
+        m_is_up = false;
+        if (m_on_change)
+            m_on_change();
         return refuse(call, "target_not_reached");
     }
     if (scope.is_cancelled_now())
@@ -401,41 +405,43 @@
     if (steady_clock::now() >= call.deadline ||
         m_targets.has_left(target.start()))
         return refuse(call, "too_late_to_send");
-    auto sent = onward(request, call, target);
+    auto sent = request_to_target(request, call, target);
     auto result =
         exchange(**stream, sent,
                  {call.deadline, m_names.request_id, call.request_id}, scope);
     if (result.reusable)
     {
-        const auto told = idle_seconds_told(*result.response);
+        const auto idle_timeout = idle_seconds_told(*result.response);
         m_pool.give_back(target.where, std::move(*stream),
-                         duration(told.value_or(idle_untold)) - idle_margin);
+                         duration(idle_timeout.value_or(default_idle_timeout)) -
+                             idle_margin);
     }
     const bool lost = result.end == exchange_end::unknown;
-    auto answer = judge(call, std::move(result));
-    answer.target_ended = lost && has_ended(target);
+    auto answer = classify_result(call, std::move(result));
+    answer.target_crashed = lost && has_crashed(target);
     return answer;
 }
 
-bool target_owner::has_ended(const target_report& target)
+bool target_owner::has_crashed(const target_report& target)
 {
     const auto* used = m_targets.in_use();
     if (used == nullptr || used->start() != target.start())
         return false; // it said that it leaves, and may end as it likes
-    const auto failed = m_pool.probe(target.where, connect_timeout,
-                                     duration(idle_untold) - idle_margin);
+    const auto failed =
+        m_pool.probe(target.where, connect_timeout,
+                     duration(default_idle_timeout) - idle_margin);
     if (failed != boost::asio::error::connection_refused)
         return false;
     const auto now = steady_clock::now();
-    if (now < m_ended_at + least_time_between_ends)
+    if (now < m_crashed_at + min_crash_interval)
         return true; // another run that was there has told it
-    m_ended_at = now;
-    note_end(target);
+    m_crashed_at = now;
+    record_crash(target);
     return true;
 }
 
-owner_answer target_owner::judge(const owner_call& call,
-                                 exchange_result result) const
+owner_answer target_owner::classify_result(const owner_call& call,
+                                           exchange_result result) const
 {
     owner_answer answer;
     answer.reached = result.end != exchange_end::not_sent;
@@ -448,11 +454,11 @@
         return answer;
     auto& response = *result.response;
     const auto status = response.result_int();
-    if (response.count(m_names.not_run) != 0 || status == misdirected)
+    if (response.count(m_names.not_run) != 0 || status == status_misdirected)
     {
         answer.end = call_end::not_run;
         answer.reason = "refused by the target with " + std::to_string(status);
-        answer.retry_after = m_places.retry_after();
+        answer.retry_after = m_admission.retry_after();
         return answer;
     }
     const bool has_proof =
@@ -466,8 +472,7 @@
     }
     // Passed on, such a status would promise a client what is not known.
     if (!may_repeat(call.kind) &&
-        std::ranges::find(promising_statuses, status) !=
-            promising_statuses.end())
+        std::ranges::find(not_run_statuses, status) != not_run_statuses.end())
     {
         answer.end = call_end::unknown;
         answer.reason = "status " + std::to_string(status) +
@@ -479,25 +484,25 @@
     return answer;
 }
 
-whole_response target_owner::answer_question(const whole_request& question)
+whole_response target_owner::answer_load_query(const whole_request& query)
 {
     owner_call call;
-    call.request_id = load_question_id;
+    call.request_id = load_query_id;
     owner_answer answer;
     answer.end = call_end::not_run;
-    answer.told = word();
-    if (const auto bytes = claimed_bytes(question))
+    answer.report = current_load();
+    if (const auto bytes = claimed_bytes(query))
         // Rounded up: zero is the word that the body may come.
         answer.retry_after =
-            std::chrono::ceil<milliseconds>(claim_turn(*bytes));
+            std::chrono::ceil<milliseconds>(claim_transfer_slot(*bytes));
     return to_hop_response(std::move(answer), call, m_names.request_id);
 }
 
 whole_response target_owner::answer_peer(received_request& request,
                                          cancel_scope& scope)
 {
-    if (is_load_question(request.message))
-        return answer_question(request.message);
+    if (is_load_query(request.message))
+        return answer_load_query(request.message);
     auto call = take_hop_fields(request, m_names.request_id);
     if (!call)
     {
--- a/src/proxy/target_owner_ends.cpp
+++ b/src/proxy/target_owner_crashes.cpp
@@ -12,66 +12,72 @@
 namespace
 {
 
-// Until the word for a call has come back to this node it is not told again.
-constexpr std::uint64_t vouch_pause_ms = 1'000;
-constexpr std::size_t most_vouched = 16;
+// Until the word for a call has come back to this node it is not was_announced
+// again.
+constexpr std::uint64_t announce_interval_ms = 1'000;
+constexpr std::size_t max_announced = 16;
 
 } // namespace
 
-void target_owner::note_end(const target_report& target)
+void target_owner::record_crash(const target_report& target)
 {
-    m_up = false;
-    m_last_end = end_of(target);
-    if (m_news)
-        m_news();
+    m_is_up = false;
+    m_last_crash = make_crash_record(target);
+    if (m_on_change)
+        m_on_change();
 }
 
-void target_owner::note_good_run(const whole_request& request, bool was_held)
+void target_owner::record_good_run(const whole_request& request,
+                                   bool was_quarantined)
 {
     // One run is not worth telling: most calls of an end never come again.
-    if (was_held || m_ran_well.contain(request))
-        vouch_for(request);
+    if (was_quarantined || m_recent_good_runs.contain(request))
+        announce_good_run(request);
     else
-        m_ran_well.ran(request);
+        m_recent_good_runs.ran(request);
 }
 
-void target_owner::vouch_for(const whole_request& request)
+void target_owner::announce_good_run(const whole_request& request)
 {
     const auto known = m_board.suspects.get();
     if (known->empty() || !known->knows_head(head_fingerprint(request)))
         return;
     const auto call = fingerprint_of(request).text();
     const auto now_ms = wall_clock_ms();
-    const bool told = std::ranges::any_of(
-        m_good_runs, [&](const good_run& each)
-        { return each.call == call && now_ms < each.at_ms + vouch_pause_ms; });
-    if (told || known->find(call) == nullptr)
+    const bool was_announced = std::ranges::any_of(
+        m_good_runs,
+        [&](const good_run& each) {
+            return each.call == call &&
+                   now_ms < each.at_ms + announce_interval_ms;
+        });
+    if (was_announced || known->find(call) == nullptr)
         return;
     m_good_runs.push_back({call, now_ms});
-    if (m_good_runs.size() > most_vouched)
+    if (m_good_runs.size() > max_announced)
         m_good_runs.erase(m_good_runs.begin());
     m_board.decisions.note("call_cleared", call, "it runs well here");
-    if (m_news)
-        m_news();
+    if (m_on_change)
+        m_on_change();
 }
 
-target_end target_owner::end_of(const target_report& target)
+target_end target_owner::make_crash_record(const target_report& target)
 {
     target_end end;
     end.target_id = target.start();
     end.at_ms = wall_clock_ms();
     std::set<std::string> calls;
-    for (const auto* each : m_runs.under_way())
+    for (const auto* each : m_runs.active_requests())
     {
-        if (!m_ran_well.contain(*each) && calls.size() < target_end::most_calls)
+        if (!m_recent_good_runs.contain(*each) &&
+            calls.size() < target_end::most_calls)
             calls.insert(fingerprint_of(*each).text());
-        m_ran_well.forget(*each);
+        m_recent_good_runs.forget(*each);
     }
     end.calls.assign(calls.begin(), calls.end());
     m_board.decisions.note("target_ended", target.id,
                            "it lost its calls and refuses connections",
                            {{"calls", boost::json::value_from(end.calls)},
-                            {"runs", m_runs.under_way().size()}});
+                            {"runs", m_runs.active_requests().size()}});
     return end;
 }
 
--- a/tests/integration/ending_calls.cpp
+++ b/tests/integration/ending_calls.cpp
@@ -21,12 +21,12 @@
 {
 
 /** @return how many sends came later than `time_to_know` after the third. */
-long later_sends(const std::vector<time_point>& sends)
+long late_sends(const std::vector<time_point>& send_times)
 {
-    if (sends.size() < 3)
+    if (send_times.size() < 3)
         return 0;
-    const auto after = sends[2] + time_to_know;
-    return std::ranges::count_if(sends,
+    const auto after = send_times[2] + propagation_limit;
+    return std::ranges::count_if(send_times,
                                  [&](time_point at) { return at > after; });
 }
 
@@ -37,12 +37,12 @@
     on_worker(
         [](worker& on)
         {
-            ending_system system(on);
-            system.tries_at_once(20);
-            system.tries_for(std::chrono::seconds(9));
-            CHECK(later_sends(system.sends()) <= most_later_sends);
+            crashing_system system(on);
+            system.send_concurrently(20);
+            system.send_repeatedly(std::chrono::seconds(9));
+            CHECK(late_sends(system.send_times()) <= max_late_sends);
             // At most all targets at once, and one more round at the start.
-            CHECK(system.times_ended() <= 2 * target_count);
+            CHECK(system.crash_count() <= 2 * target_count);
             CHECK(system.all_targets_serve());
         });
 }
@@ -52,10 +52,10 @@
     on_worker(
         [](worker& on)
         {
-            ending_system system(on);
-            system.tries_for(std::chrono::seconds(5));
-            CHECK(system.times_ended() <= 2);
-            CHECK(system.served_of(60, "beside") > 0.98);
+            crashing_system system(on);
+            system.send_repeatedly(std::chrono::seconds(5));
+            CHECK(system.crash_count() <= 2);
+            CHECK(system.served_share(60, "beside") > 0.98);
         });
 }
 
@@ -64,9 +64,9 @@
     on_worker(
         [](worker& on)
         {
-            ending_system system(on);
-            system.tries_for(std::chrono::seconds(2));
-            const auto before = system.sends().size();
+            crashing_system system(on);
+            system.send_repeatedly(std::chrono::seconds(2));
+            const auto before = system.send_times().size();
             sleep_for(on.io(), milliseconds(500));
             for (auto& each : system.hosts())
                 each.node.kill();
@@ -79,9 +79,9 @@
                 each.target->report(each.at["operators"], "ready");
             }
             REQUIRE(system.wait_until(
-                [&] { return system.served_of(6, "again") == 1; }));
-            system.tries_for(std::chrono::seconds(2));
-            CHECK(system.sends().size() == before);
+                [&] { return system.served_share(6, "again") == 1; }));
+            system.send_repeatedly(std::chrono::seconds(2));
+            CHECK(system.send_times().size() == before);
         });
 }
 
@@ -90,10 +90,10 @@
     on_worker(
         [](worker& on)
         {
-            ending_system system(on);
+            crashing_system system(on);
             system.store().faults().down = true;
-            system.tries_for(std::chrono::seconds(4));
-            CHECK(system.times_ended() <= 2);
+            system.send_repeatedly(std::chrono::seconds(4));
+            CHECK(system.crash_count() <= 2);
             system.store().faults().down = false;
         });
 }
@@ -103,14 +103,14 @@
     on_worker(
         [](worker& on)
         {
-            ending_system system(on);
-            const auto over = std::make_shared<bool>(false);
+            crashing_system system(on);
+            const auto is_stopped = std::make_shared<bool>(false);
             const auto ended = std::make_shared<int>(0);
             for (std::size_t i = 0; i < system.hosts().size(); ++i)
                 on.spawn(
-                    [&system, over, ended, i]
+                    [&system, is_stopped, ended, i]
                     {
-                        for (int n = 0; !*over; ++n)
+                        for (int n = 0; !*is_stopped; ++n)
                             system.call(system.hosts()[i],
                                         "many-" + std::to_string(i) + "-" +
                                             std::to_string(n),
@@ -118,9 +118,9 @@
                         ++*ended;
                     });
             sleep_for(on.io(), milliseconds(500));
-            system.tries_at_once(6);
-            system.tries_for(std::chrono::seconds(3));
-            *over = true;
+            system.send_concurrently(6);
+            system.send_repeatedly(std::chrono::seconds(3));
+            *is_stopped = true;
             REQUIRE(system.wait_until([&] { return *ended == 6; }));
             // Where all targets end at once it may be named twice; then one
             // target tries it after five seconds and clears it.
@@ -133,7 +133,7 @@
                                    .status == 200;
                     },
                     std::chrono::seconds(8)));
-            CHECK(system.times_ended() <= target_count);
+            CHECK(system.crash_count() <= target_count);
         });
 }
 
@@ -142,13 +142,13 @@
     on_worker(
         [](worker& on)
         {
-            ending_system system(on);
+            crashing_system system(on);
             for (auto& each : system.hosts())
                 each.target->tricks().reset_answers = 1;
             for (int i = 0; i < 3; ++i)
                 system.call(system.hosts()[4], "lost-" + std::to_string(i),
                             "/fields/lost");
-            CHECK(system.times_ended() == 0);
+            CHECK(system.crash_count() == 0);
             CHECK(system.wait_until(
                 [&]
                 {
--- a/tests/integration/ending_calls_soak.cpp
+++ b/tests/integration/ending_calls_soak.cpp
@@ -23,43 +23,44 @@
  * stopped in a planned way or frozen, and the store goes away, while the call
  * comes again at nodes that are drawn too.
  */
-class troubled_mesh
+class faulty_mesh
 {
 public:
-    troubled_mesh(ending_system& system, std::uint64_t seed)
+    faulty_mesh(crashing_system& system, std::uint64_t seed)
         : m_system(system)
         , m_random(seed)
         , m_disturbed(system.hosts().size())
     {
     }
 
-    void play(duration span)
+    void run(duration span)
     {
         const auto until = steady_clock::now() + span;
         int open = 2;
-        m_system.on().spawn([&] { come_again(until, open); });
-        m_system.on().spawn([&] { report_until(until, open); });
+        m_system.on().spawn([&] { send_poison_calls(until, open); });
+        m_system.on().spawn([&] { send_target_reports(until, open); });
         while (steady_clock::now() < until)
         {
-            trouble_one();
+            inject_random_fault();
             sleep_for(m_system.on().io(),
                       milliseconds(200 + m_random.below(500)));
         }
-        REQUIRE(m_system.wait_until([&] { return open + m_troubles == 0; }));
+        REQUIRE(
+            m_system.wait_until([&] { return open + m_active_faults == 0; }));
     }
 
     /** @return the sends later than `time_to_know` after the third one, by
      * hosts that nothing had happened to for as long. */
-    long later_sends()
+    long late_sends()
     {
-        const auto all = m_system.sends();
+        const auto all = m_system.send_times();
         if (all.size() < 3)
             return 0;
-        const auto after = all[2] + time_to_know;
+        const auto after = all[2] + propagation_limit;
         long later = 0;
         for (std::size_t i = 0; i < m_system.hosts().size(); ++i)
             for (const auto& run : m_system.hosts()[i].target->runs())
-                if (run.path == ending_path && run.begun > after &&
+                if (run.path == poison_path && run.begun > after &&
                     !was_disturbed(i, run.begun))
                     ++later;
         return later;
@@ -68,12 +69,15 @@
 private:
     bool was_disturbed(std::size_t host, time_point at) const
     {
-        return std::ranges::any_of(
-            m_disturbed[host], [&](const auto& each)
-            { return at >= each.first && at <= each.second + time_to_know; });
+        return std::ranges::any_of(m_disturbed[host],
+                                   [&](const auto& each) {
+                                       return at >= each.first &&
+                                              at <= each.second +
+                                                        propagation_limit;
+                                   });
     }
 
-    void come_again(time_point until, int& open)
+    void send_poison_calls(time_point until, int& open)
     {
         while (steady_clock::now() < until)
         {
@@ -81,7 +85,7 @@
                 m_system.hosts()[m_random.below(m_system.hosts().size())];
             const auto id = m_system.next_id();
             m_system.on().spawn([this, &at, id]
-                                { m_system.call(at, id, ending_path); });
+                                { m_system.call(at, id, poison_path); });
             sleep_for(m_system.on().io(),
                       milliseconds(30 + m_random.below(60)));
         }
@@ -89,7 +93,7 @@
     }
 
     /** As targets do: again and again, so that a node that starts hears. */
-    void report_until(time_point until, int& open)
+    void send_target_reports(time_point until, int& open)
     {
         while (steady_clock::now() < until)
         {
@@ -100,27 +104,27 @@
         --open;
     }
 
-    void trouble_one()
+    void inject_random_fault()
     {
         const auto index = m_random.below(m_system.hosts().size());
         if (m_busy.contains(index))
             return;
         m_busy.insert(index);
-        ++m_troubles;
+        ++m_active_faults;
         const auto kind = m_random.below(4);
         m_system.on().spawn(
             [this, index, kind]
             {
                 const auto begin = steady_clock::now();
-                trouble(index, kind);
+                inject_fault(index, kind);
                 if (kind != 3)
                     m_disturbed[index].emplace_back(begin, steady_clock::now());
                 m_busy.erase(index);
-                --m_troubles;
+                --m_active_faults;
             });
     }
 
-    void trouble(std::size_t index, std::uint64_t kind)
+    void inject_fault(std::size_t index, std::uint64_t kind)
     {
         auto& host = m_system.hosts()[index];
         const milliseconds pause(300 + m_random.below(1200));
@@ -150,11 +154,11 @@
         }
     }
 
-    ending_system& m_system;
+    crashing_system& m_system;
     random_source m_random;
     std::vector<std::vector<std::pair<time_point, time_point>>> m_disturbed;
     std::set<std::size_t> m_busy;
-    int m_troubles = 0;
+    int m_active_faults = 0;
 };
 
 } // namespace
@@ -173,11 +177,11 @@
         on_worker(
             [&](worker& on)
             {
-                ending_system system(on);
-                troubled_mesh troubled(system, seed);
-                troubled.play(std::chrono::seconds(10));
-                INFO("seed " << seed << ", ended " << system.times_ended()
-                             << ", sends " << system.sends().size());
-                CHECK(troubled.later_sends() <= most_later_sends);
+                crashing_system system(on);
+                faulty_mesh faults(system, seed);
+                faults.run(std::chrono::seconds(10));
+                INFO("seed " << seed << ", ended " << system.crash_count()
+                             << ", sends " << system.send_times().size());
+                CHECK(faults.late_sends() <= max_late_sends);
             });
 }
--- a/tests/integration/owner_choice.cpp
+++ b/tests/integration/owner_choice.cpp
@@ -38,13 +38,13 @@
               on,
               [this](const member& peer)
               {
-                  ++asked;
+                  ++queries;
                   return answer(peer.rpc);
               },
               [this](const member& peer, std::uint64_t)
               {
-                  ++claimed;
-                  return turn(peer.rpc);
+                  ++slot_claims;
+                  return slot_wait(peer.rpc);
               })
     {
         config.place = near_place;
@@ -59,9 +59,9 @@
     target_owner owner;
     entry_settings config;
     target_board seen{**find_policy("least_time"), 7};
-    int asked = 0;
-    int claimed = 0;
-    std::function<std::optional<duration>(const address&)> turn =
+    int queries = 0;
+    int slot_claims = 0;
+    std::function<std::optional<duration>(const address&)> slot_wait =
         [](const address&) { return duration::zero(); };
     std::function<std::optional<owner_word>(const address&)> answer =
         [](const address&) { return owner_word{}; };
@@ -91,7 +91,7 @@
         {
             const auto chosen = made.choice.choose(made.owners, {}, 500, work);
             CHECK(chosen.owner != nullptr);
-            CHECK(made.asked == 0);
+            CHECK(made.queries == 0);
         });
 }
 
@@ -107,7 +107,7 @@
                 REQUIRE(chosen.owner);
                 CHECK(chosen.owner->place == near_place);
             }
-            CHECK(made.asked == 60);
+            CHECK(made.queries == 60);
         });
 }
 
@@ -118,9 +118,9 @@
         {
             made.answer = [](const address& peer)
             {
-                owner_word word;
-                word.incoming_bytes = peer.port == 4 ? 0 : 400'000;
-                return word;
+                owner_word report;
+                report.incoming_bytes = peer.port == 4 ? 0 : 400'000;
+                return report;
             };
             const auto chosen =
                 made.choice.choose(made.owners, {}, large, work);
@@ -160,17 +160,17 @@
         {
             made.answer = [](const address&)
             {
-                owner_word word;
-                word.incoming_bytes = 1'000'000; // 0.8 s at 10 Mbit/s
-                return word;
+                owner_word report;
+                report.incoming_bytes = 1'000'000; // 0.8 s at 10 Mbit/s
+                return report;
             };
             const auto chosen =
                 made.choice.choose(made.owners, {}, large, work);
             CHECK(chosen.owner == nullptr);
-            CHECK(chosen.links_full >= milliseconds(800));
+            CHECK(chosen.links_full_for >= milliseconds(800));
             made.answer = [](const address&) { return std::nullopt; };
-            CHECK(made.choice.choose(made.owners, {}, large, work).links_full >
-                  duration::zero());
+            CHECK(made.choice.choose(made.owners, {}, large, work)
+                      .links_full_for > duration::zero());
         });
 }
 
@@ -201,10 +201,10 @@
 
 owner_word load_of(double load)
 {
-    owner_word word;
-    word.load = load;
-    word.slots = 10;
-    return word;
+    owner_word report;
+    report.load = load;
+    report.slots = 10;
+    return report;
 }
 
 } // namespace
@@ -226,17 +226,17 @@
             int to_full = 0;
             for (int i = 0; i < 10; ++i)
             {
-                const auto before = made.asked;
+                const auto before = made.queries;
                 const auto chosen =
                     made.choice.choose(made.owners, {}, 500, work);
                 REQUIRE(chosen.owner);
-                CHECK(made.asked - before <= 3);
+                CHECK(made.queries - before <= 3);
                 to_full +=
                     std::ranges::find(full, chosen.owner->rpc) != full.end()
                         ? 1
                         : 0;
             }
-            CHECK(made.asked > 0);
+            CHECK(made.queries > 0);
             CHECK(to_full < 10); // three of three are full now and then
         });
 }
@@ -247,7 +247,7 @@
         [](worker&, fixture& made)
         {
             REQUIRE(made.targets.in_use() == nullptr);
-            CHECK(made.owner.word().load >= 1);
+            CHECK(made.owner.current_load().load >= 1);
         });
 }
 
@@ -260,12 +260,12 @@
             made.answer = [](const address&) { return load_of(1.5); };
             const auto first =
                 made.choice.choose(made.owners, {}, 500, work).owner;
-            const auto asked = made.asked;
+            const auto queries = made.queries;
             const auto second =
                 made.choice.choose(made.owners, {first->rpc}, 500, work).owner;
             REQUIRE(second);
             CHECK(second->rpc != first->rpc);
-            CHECK(made.asked == asked);
+            CHECK(made.queries == queries);
         });
 }
 
@@ -276,11 +276,11 @@
         [](worker& on, fixture& made)
         {
             enlarge(made);
-            std::map<address, int> asked;
+            std::map<address, int> queries;
             int open = 0;
             made.answer = [&](const address& peer) -> std::optional<owner_word>
             {
-                ++asked[peer];
+                ++queries[peer];
                 ++open;
                 sleep_for(on.io(), milliseconds(150));
                 --open;
@@ -293,7 +293,7 @@
                 sleep_for(on.io(), milliseconds(160)); // they fell silent
             }
             CHECK(steady_clock::now() - begin < milliseconds(4 * 200 + 400));
-            CHECK(std::ranges::all_of(asked, [](const auto& each)
+            CHECK(std::ranges::all_of(queries, [](const auto& each)
                                       { return each.second == 1; }));
             while (open > 0) // they still use what the test owns
                 sleep_for(on.io(), milliseconds(10));
@@ -306,7 +306,8 @@
         [](worker&, fixture& made)
         {
             const address second{"10.0.0.1", 3};
-            made.turn = [&](const address& owner) -> std::optional<duration> {
+            made.slot_wait =
+                [&](const address& owner) -> std::optional<duration> {
                 return owner == second ? duration::zero()
                                        : duration(milliseconds(90));
             };
@@ -327,20 +328,20 @@
         {
             const auto begin = steady_clock::now();
             const auto free_at = begin + milliseconds(60);
-            made.turn = [&](const address&) -> std::optional<duration> {
+            made.slot_wait = [&](const address&) -> std::optional<duration> {
                 return std::max<duration>(duration::zero(),
                                           free_at - steady_clock::now());
             };
             CHECK(made.choice.choose(made.owners, {}, large, work).owner);
             CHECK(steady_clock::now() >= free_at);
             // An eighth of a second is the most that this body waits.
-            made.turn = [](const address&)
+            made.slot_wait = [](const address&)
             { return std::optional<duration>(milliseconds(400)); };
             const auto refused_from = steady_clock::now();
             const auto refused =
                 made.choice.choose(made.owners, {}, large, work);
             CHECK_FALSE(refused.owner);
-            CHECK(refused.links_full == milliseconds(400));
+            CHECK(refused.links_full_for == milliseconds(400));
             CHECK(steady_clock::now() - refused_from < milliseconds(125));
         });
 }
@@ -351,10 +352,10 @@
         [](worker&, fixture& made)
         {
             made.choice.choose(made.owners, {}, 100, work);
-            CHECK(made.claimed == 0);
+            CHECK(made.slot_claims == 0);
             const std::vector<member_ptr> own{owner_at(1, near_place),
                                               owner_at(1, near_place)};
             CHECK(made.choice.choose(own, {}, large, work).owner);
-            CHECK(made.claimed == 0);
+            CHECK(made.slot_claims == 0);
         });
 }
--- a/tests/unit/call_fingerprint.cpp
+++ b/tests/unit/call_fingerprint.cpp
@@ -19,7 +19,7 @@
     return made;
 }
 
-std::string name_of(const whole_request& request)
+std::string fingerprint_text(const whole_request& request)
 {
     return fingerprint_of(request).text();
 }
@@ -34,27 +34,29 @@
     second.set("X-Request-Id", "2");
     second.set("Tillerhall-Left-Ms", "120");
     second.set("Connection", "close");
-    CHECK(name_of(first) == name_of(second));
+    CHECK(fingerprint_text(first) == fingerprint_text(second));
 }
 
 TEST_CASE("calls that differ in what a target reads have other names")
 {
     const auto call = request_of("/a?b=1", "x");
-    CHECK(name_of(call) != name_of(request_of("/a?b=2", "x")));
-    CHECK(name_of(call) != name_of(request_of("/a?b=1", "y")));
-    CHECK(name_of(call) != name_of(request_of("/a?b=1")));
+    CHECK(fingerprint_text(call) !=
+          fingerprint_text(request_of("/a?b=2", "x")));
+    CHECK(fingerprint_text(call) !=
+          fingerprint_text(request_of("/a?b=1", "y")));
+    CHECK(fingerprint_text(call) != fingerprint_text(request_of("/a?b=1")));
     auto elsewhere = call;
     elsewhere.set("Host", "other.example");
-    CHECK(name_of(call) != name_of(elsewhere));
+    CHECK(fingerprint_text(call) != fingerprint_text(elsewhere));
     auto changed = call;
     changed.method(boost::beast::http::verb::put);
-    CHECK(name_of(call) != name_of(changed));
+    CHECK(fingerprint_text(call) != fingerprint_text(changed));
 }
 
 TEST_CASE("the head alone tells calls without a body")
 {
     const auto call = request_of("/a");
-    CHECK(name_of(call) == head_fingerprint(call));
+    CHECK(fingerprint_text(call) == head_fingerprint(call));
     CHECK(fingerprint_of(request_of("/a", "x")).head ==
           head_fingerprint(request_of("/a", "y")));
 }
--- a/tests/unit/owner_answer.cpp
+++ b/tests/unit/owner_answer.cpp
@@ -1,6 +1,6 @@
 #include "tillerhall/proxy/owner_answer.hpp"
 #include "tillerhall/http/fields.hpp"
-#include "tillerhall/proxy/run_register.hpp"
+#include "tillerhall/proxy/run_registry.hpp"
 #include "tillerhall/proxy/wire_names.hpp"
 
 #include <catch2/catch.hpp>
@@ -87,18 +87,18 @@
         given.reason = "why";
         given.reached = end != call_end::not_run;
         given.retry_after = milliseconds(80);
-        given.elsewhere_alike = end == call_end::not_run;
-        given.told = {1.25, 42.5, 12};
+        given.others_would_refuse = end == call_end::not_run;
+        given.report = {1.25, 42.5, 12};
         const auto read =
             from_hop_response(to_hop_response(given, call, id_field));
         CHECK(read.end == end);
         CHECK(read.reason == "why");
         CHECK(read.reached == given.reached);
         CHECK(read.retry_after == milliseconds(80));
-        CHECK(read.elsewhere_alike == given.elsewhere_alike);
-        CHECK(read.told.load == 1.25);
-        CHECK(read.told.run_ms == 42.5);
-        CHECK(read.told.slots == 12);
+        CHECK(read.others_would_refuse == given.others_would_refuse);
+        CHECK(read.report.load == 1.25);
+        CHECK(read.report.run_ms == 42.5);
+        CHECK(read.report.slots == 12);
         CHECK_FALSE(read.response);
     }
     owner_answer given;
@@ -116,21 +116,21 @@
 
 TEST_CASE("a question for the load is a request that owners take")
 {
-    const auto question = load_question(id_field);
-    CHECK(framing_fault(question.base()).empty());
-    CHECK(is_load_question(question));
-    CHECK_FALSE(is_load_question({http::verb::get, "/", 11}));
+    const auto query = load_query(id_field);
+    CHECK(framing_fault(query.base()).empty());
+    CHECK(is_load_query(query));
+    CHECK_FALSE(is_load_query({http::verb::get, "/", 11}));
     owner_answer answer;
     answer.end = call_end::not_run;
-    answer.told.load = 0.75;
-    answer.told.slots = 12;
-    answer.told.incoming_bytes = 60'000;
-    answer.told.link_backlog = milliseconds(340);
+    answer.report.load = 0.75;
+    answer.report.slots = 12;
+    answer.report.incoming_bytes = 60'000;
+    answer.report.link_backlog = milliseconds(340);
     owner_call asked;
-    asked.request_id = load_question_id;
+    asked.request_id = load_query_id;
     auto response = to_hop_response(std::move(answer), asked, id_field);
-    CHECK(response[id_field] == load_question_id);
-    const auto read = from_hop_response(std::move(response)).told;
+    CHECK(response[id_field] == load_query_id);
+    const auto read = from_hop_response(std::move(response)).report;
     CHECK(read.load == 0.75);
     CHECK(read.slots == 12);
     CHECK(read.incoming_bytes == 60'000);
@@ -159,21 +159,21 @@
 
 TEST_CASE("the maker of a call is told by its id while the run lives")
 {
-    run_register runs;
+    run_registry runs;
     const whole_request request;
     const work_class reads{2, milliseconds(200), call_kind::repeatable};
     const work_class bookings{1, milliseconds(250), call_kind::once};
-    CHECK_FALSE(runs.maker_of("a.1"));
-    CHECK_FALSE(runs.ids_tell());
+    CHECK_FALSE(runs.parent_of("a.1"));
+    CHECK_FALSE(runs.ids_name_parents());
     {
-        const run_register::run first(runs, "a", reads, request);
-        const run_register::run second(runs, "ab", bookings, request);
-        CHECK(runs.maker_of("a.1") == reads);
-        CHECK(runs.maker_of("a.1.7") == reads);
-        CHECK(runs.maker_of("ab.1") == bookings);
-        CHECK_FALSE(runs.maker_of("a")); // a run does not make itself
-        CHECK_FALSE(runs.maker_of("abc"));
+        const run_registry::run first(runs, "a", reads, request);
+        const run_registry::run second(runs, "ab", bookings, request);
+        CHECK(runs.parent_of("a.1") == reads);
+        CHECK(runs.parent_of("a.1.7") == reads);
+        CHECK(runs.parent_of("ab.1") == bookings);
+        CHECK_FALSE(runs.parent_of("a")); // a run does not make itself
+        CHECK_FALSE(runs.parent_of("abc"));
     }
-    CHECK_FALSE(runs.maker_of("a.1"));
-    CHECK(runs.ids_tell());
+    CHECK_FALSE(runs.parent_of("a.1"));
+    CHECK(runs.ids_name_parents());
 }
--- a/tests/unit/run_evidence.cpp
+++ b/tests/unit/run_statistics.cpp
@@ -4,7 +4,7 @@
  * told the runs of the old start with the id of the new one until the first
  * call came. Three owners did so within 150 ms of an order, and a good release
  * was sent back for "3 of the last 4 runs" that another release had failed. */
-#include "tillerhall/proxy/run_evidence.hpp"
+#include "tillerhall/proxy/run_statistics.hpp"
 
 #include <boost/beast/http.hpp>
 #include <catch2/catch.hpp>
@@ -29,18 +29,18 @@
 
 TEST_CASE("a start of a target is not told the runs of an earlier one")
 {
-    run_evidence evidence;
-    evidence.taken("old");
-    evidence.ended("old", work, answered(500), {});
-    CHECK(evidence.counts().at(work).failed == 1);
-    evidence.use("new");
-    CHECK(evidence.counts().empty());
-    CHECK(evidence.taken_count() == 0);
+    run_statistics stats;
+    stats.run_started("old");
+    stats.run_finished("old", work, answered(500), {});
+    CHECK(stats.counts().at(work).failed == 1);
+    stats.set_target("new");
+    CHECK(stats.counts().empty());
+    CHECK(stats.taken_count() == 0);
     // A run that began at the earlier start and ends now.
-    evidence.ended("old", work, answered(500), {});
-    CHECK(evidence.counts().empty());
-    evidence.taken("new");
-    evidence.ended("new", work, answered(200), {});
-    CHECK(evidence.counts().at(work).ended == 1);
-    CHECK(evidence.counts().at(work).failed == 0);
+    stats.run_finished("old", work, answered(500), {});
+    CHECK(stats.counts().empty());
+    stats.run_started("new");
+    stats.run_finished("new", work, answered(200), {});
+    CHECK(stats.counts().at(work).ended == 1);
+    CHECK(stats.counts().at(work).failed == 0);
 }
