--- a/include/tillerhall/proxy/call_entry.hpp
+++ b/include/tillerhall/proxy/call_entry.hpp
@@ -1,4 +1,4 @@
-/** @file Takes calls from the clients of this host and leads them by routes. */
+/** @file Accepts calls from this host's clients and routes them to targets. */
 #pragma once
 
 #include "tillerhall/node/blackboard.hpp"
@@ -25,20 +25,20 @@
 
 struct request_fault;
 
-/** What an entry is told by the settings. */
+/** Settings of an entry. */
 struct entry_settings
 {
     address own;         ///< control address of this node
     member_place place;  ///< of this host
-    std::string service; ///< of this host; the caller of every call here
+    std::string service; ///< of this host; sent as the caller of its calls
     fleet_budget_limits budget;
 };
 
-/** Leads calls to targets; for fibers of one worker. */
+/** Routes calls to targets; for fibers of one worker. */
 class call_entry
 {
 public:
-    /** Told of nodes that could not be reached. */
+    /** Called with the address of a node that could not be reached. */
     using unreachable = std::function<void(const address&)>;
 
     call_entry(const entry_settings& config,
@@ -50,34 +50,33 @@
                worker& on,
                unreachable report);
 
-    /** Answers one call of a client. */
+    /** Routes one call of a client and returns the response to it. */
     whole_response answer(received_request& request, cancel_scope& scope);
 
     /**
-     * Ends the calls under way, for a node that cannot wait any longer: their
-     * clients are told that the outcome is not known.
+     * Cancels all active calls when the node cannot wait any longer. Their
+     * clients receive a response that leaves the outcome open.
      */
     void end_calls();
 
-    /** Answers a request that was not understood. */
+    /** Returns the response to a request that could not be parsed. */
     whole_response refuse(const request_fault& fault) const;
 
 private:
-    /** With less time left nothing is sent any more. */
+    /** Nothing is sent to a target with less time left than this. */
     static constexpr milliseconds min_time_left{5};
-    /** When to come back where no target takes work. */
+    /** Retry-After of a refusal when no target takes work. */
     static constexpr milliseconds retry_without_target{100};
 
-    /** What this node has seen of one service. */
+    /** State of this node for one service. */
     struct service_record
     {
         fleet_budget budget;
-        double failure_share =
-            0; ///< decaying share of runs that ended in failure
-        exposure_tickets permits; ///< to a release that is not proved
+        double failure_share = 0; ///< moving average over the runs
+        exposure_tickets permits; ///< for canary targets
     };
 
-    /** One call and what became of it so far. */
+    /** One call and the results of its tries so far. */
     struct call_state
         : boost::intrusive::list_base_hook<
               boost::intrusive::link_mode<boost::intrusive::auto_unlink>>
@@ -88,64 +87,69 @@
         const call_route* route = nullptr;
         std::vector<address> tried;
         unsigned targets_reached = 0;
-        std::vector<address> crashed_at; ///< whose targets ended meanwhile
-        unsigned common_refusals = 0; ///< by owners that expect others to, too
-        bool may_have_run = false;    ///< in a try whose answer is not known
-        bool is_canary = false; ///< the present try is at a release on trial
+        std::vector<address> crashed_at; ///< owners whose target crashed
+        unsigned common_refusals = 0;    ///< refusals that others would repeat
+        bool may_have_run = false;       ///< in a try with an unknown outcome
+        bool is_canary = false; ///< the current try goes to a canary target
 
-        /** @return the sort of calls that an owner refuses with this one. */
+        /** @return the key by which refusals of similar calls are cached. */
         refused_work refusal_key() const
         {
             return {call.work(), call.elapsed > duration::zero()};
         }
     };
 
-    /** @return who makes a call, by its key and by what runs here. */
+    /** @return who makes a call, by its key and the runs of the local target.
+     */
     caller_identity caller_of(const whole_request& request,
                               const call_routes& routes,
                               const call_route& route);
     whole_response refuse_caller(const std::string& id,
                                  caller_standing standing) const;
-    /** @return when the client may come back, if the account has spent all. */
+    /** @return the time until the account has quota again, if it has none. */
     std::optional<duration> over_quota(const caller_identity& caller);
-    /** Names the account for the target, and lets the key go no further. */
+    /** Sets the account for the target and removes the client's key. */
     void set_account(owner_call& call,
                      whole_request& request,
                      const caller_identity& caller);
-    /** Sets what the route and the client say about the call. */
+    /** Sets what the route and the client demand of the call. */
     void set_terms(owner_call& call,
                    const call_route& route,
                    time_point received,
                    const std::optional<milliseconds>& left);
     /**
-     * Finds out whether the call was made by a run of the target here, and if
-     * not, whether its client comes back. @param left as told by the caller
+     * Sets whether a run of the local target made the call, and if not, how
+     * long ago its client sent the first try.
+     * @param left remaining time sent by the caller
      */
     void classify(owner_call& call, const std::optional<milliseconds>& left);
     owner_answer
     forward(received_request& request, call_state& state, cancel_scope& scope);
-    /** @return whom to ask next; those in a planned stop last. */
+    /** @return the owner to try next; owners in a planned stop come last. */
     chosen_owner choose_owner(const received_request& request,
                               call_state& state,
                               const service_targets& view);
-    /** @return an owner of a target on trial, if this call may go there. */
+    /** @return the owner of a canary target if this call may go to one. */
     member_ptr choose_canary(const received_request& request,
                              const call_state& state,
                              const service_targets& view);
-    /** Draws and gives back tickets by whether the try reached a target. */
+    /** Adds exposure permits after a try that reached a target, or returns the
+     * permit of a canary try that did not. */
     void update_exposure_permits(const call_state& state, bool reached);
     owner_answer try_owner(received_request& request,
                            call_state& state,
                            const member& owner,
                            cancel_scope& scope);
-    /** Remembers a refusal for want of room while a processor is pressed. */
+    /** Caches a refusal for lack of capacity while a processor is saturated. */
     void record_refusal(const call_state& state,
                         const member& owner,
                         const owner_answer& answer,
                         time_point now);
-    /** Asks an owner for its load, on a connection that calls use. */
+    /** Queries the load of an owner on a connection of the call pool. */
     std::optional<owner_word> query_load(const member& owner);
-    /** Claims a turn for a body on an owner's link, in the same way. */
+    /** Claims a transfer slot for a body on an owner's link.
+     * @return the wait before the next claim, zero if the body may be sent;
+     * nothing if the owner does not answer */
     std::optional<duration> claim_transfer_slot(const member& owner,
                                                 std::uint64_t bytes);
     std::optional<owner_answer> query_owner(const member& owner,
@@ -161,10 +165,10 @@
     bool is_worth_retrying(const received_request& request,
                            const call_state& state,
                            const owner_answer& last);
-    /** @return how the call is held since targets ended under it. */
+    /** @return the quarantine of a call that crashed targets, if any. */
     std::optional<call_hold> quarantine_status(const received_request& request,
                                                const call_state& state) const;
-    /** Refuses a held call, or has it tried by the one owner that may. */
+    /** Refuses a quarantined call, or sends it to the owner that probes it. */
     owner_answer forward_quarantined(received_request& request,
                                      call_state& state,
                                      const call_hold& quarantine,
--- a/src/proxy/call_entry.cpp
+++ b/src/proxy/call_entry.cpp
@@ -17,20 +17,22 @@
 namespace http = boost::beast::http;
 
 constexpr std::size_t max_idle_per_peer = 32;
-// Four retransmissions of TCP at the least timeout of Linux (200 ms, doubled
-// each time, the first two): a path that loses some packets lives on.
+// Allows four TCP retransmissions (200 ms at first, doubled from the third on),
+// so that a path with some packet loss stays connected.
 constexpr milliseconds peer_user_timeout(800);
-// Owners asked that refuse before their target saw the call.
+// Limit of owners tried that refuse before their target sees the call.
 constexpr std::size_t max_owners_tried = 4;
-// One owner may be wrong about the others; asked on and on, shedding owners
-// would let most calls through in the end.
+// One owner may be wrong about the others, so one more is tried. Further tries
+// would let most calls past owners that shed load.
 constexpr unsigned max_common_refusals = 2;
-// Less than this part of its objective passes before a first try is read.
+// A call counts as a retry if more than this fraction of its objective has
+// passed since its first try.
 constexpr int elapsed_threshold_divisor = 8;
 constexpr std::int64_t max_time_left_ms = 3'600'000;
-// Weight of the newest run in the share that fails; some 20 count.
+// Weight of the newest run in the moving average of failed runs.
 constexpr double failure_share_weight = 0.05;
-// One target of six that fails each second run stays below this.
+// Above this share of failed runs the fault is taken to affect all targets. One
+// target of six that fails every second run stays below it.
 constexpr double fleetwide_failure_share = 0.2;
 
 std::optional<milliseconds> time_left_of(std::string_view text)
@@ -44,7 +46,7 @@
     return milliseconds(std::min(left, max_time_left_ms));
 }
 
-/** @return a start in [0, 1) that differs from node to node. */
+/** @return a start in [0, 1) that differs between nodes. */
 double share_start(const address& own)
 {
     constexpr double two_pow_64 = 18446744073709551616.0; // 2^64
@@ -52,7 +54,7 @@
            two_pow_64;
 }
 
-/** @return whether the target answered with a failure of its own. */
+/** @return whether the target answered with a server error. */
 bool is_failure(const owner_answer& answer)
 {
     return answer.end == call_end::answered &&
@@ -229,7 +231,7 @@
         std::chrono::duration_cast<milliseconds>(call.objective);
     m_objectives.saw(objective);
     auto& runs = m_local.runs();
-    // Where ids tell nothing, targets' calls are told by their objective.
+    // Without parent ids a short objective identifies the calls of targets.
     call.nested =
         runs.parent_of(call.request_id).has_value() ||
         (!runs.ids_name_parents() && m_objectives.is_short(objective));
@@ -246,7 +248,7 @@
                                  cancel_scope& scope)
 {
     const auto& service = state.call.service;
-    std::optional<owner_answer> failure; // a target's own, tried again since
+    std::optional<owner_answer> failure; // of a target, retried since
     owner_answer last;
     last.end = call_end::not_run;
     last.reason = "no target of this service takes work";
@@ -299,7 +301,7 @@
     if (canaries.members.empty() ||
         !m_services[state.call.service].permits.has_one())
         return nullptr;
-    // A full target would refuse it; those with the calls may have room.
+    // A full target would refuse it, while one of the stable release may not.
     auto with_room = canaries.members;
     std::erase_if(with_room,
                   [now = steady_clock::now(), this](const member_ptr& each)
@@ -342,8 +344,8 @@
                                state.call.work());
     };
     auto chosen = among(view.of(state.call.service));
-    // While the last target's node was in a planned stop, all calls of its
-    // service were refused for 3.8 s though the target served all the while.
+    // Targets still serve during a planned stop of their node: use one rather
+    // than refuse the call.
     if (!chosen.owner && chosen.links_full_for == duration::zero())
         chosen = among(view.leaving(state.call.service));
     if (!chosen.owner && any_refuses && state.tried.empty())
@@ -387,7 +389,7 @@
 bool call_entry::take_retry_budget(const std::string& service,
                                    const owner_answer& last)
 {
-    // A call that no target has seen costs the budget nothing.
+    // Retrying a call that has reached no target is not counted.
     return !last.reached || m_services[service].budget.take();
 }
 
@@ -414,10 +416,10 @@
         return state.common_refusals < max_common_refusals;
     if (!may_repeat(state.call.kind))
         return false;
-    // An end that is not known may be the target's, and of the call's doing.
+    // An unknown outcome may be a crash of the target caused by the call.
     if (last.end == call_end::unknown)
         return !quarantine_status(request, state);
-    // Where runs fail at every target, another one would fail as well.
+    // If runs fail at all targets, a retry would fail too.
     return is_failure(last) && m_services[state.call.service].failure_share <
                                    fleetwide_failure_share;
 }
--- a/src/proxy/call_entry_peers.cpp
+++ b/src/proxy/call_entry_peers.cpp
@@ -9,16 +9,16 @@
 namespace
 {
 
-// Three round trips between domains (1.4 ms one way is usual) and a
-// queue of new connections; a peer that takes longer is cut off.
+// Three round trips between failure domains and a queue of new connections; a
+// peer that takes longer counts as unreachable.
 constexpr milliseconds connect_timeout(300);
-// Of hundreds of owners each is asked rarely: connections kept for longer would
-// be as many as there are hosts, at both ends, and take descriptors and memory.
+// Each of hundreds of owners is queried rarely: connections kept for longer
+// would be as many as there are hosts, at both ends.
 constexpr std::chrono::seconds idle_kept(10);
 // Three bodies of 60 KB on a link of 10 Mbit/s: an owner that takes longer to
-// tell its load has a full link.
+// answer has a full link.
 constexpr milliseconds load_query_timeout(150);
-// An owner's answer needs a moment to come back before the time is over.
+// Reserved for the transfer of an owner's answer before the deadline.
 constexpr milliseconds response_margin(10);
 
 } // namespace
