--- a/include/tillerhall/proxy/target_owner.hpp
+++ b/include/tillerhall/proxy/target_owner.hpp
@@ -1,4 +1,4 @@
-/** @file The only way to the target beside this node. */
+/** @file Runs calls at the local target. */
 #pragma once
 
 #include "tillerhall/core/worker.hpp"
@@ -24,18 +24,18 @@
 namespace tillerhall
 {
 
-/** From a call's coming to the beginning of its work, by who sent it. */
+/** Time from the receipt of a call until its work begins, by its sender. */
 inline constexpr const char* wait_metric = "tillerhall_call_wait_ms";
 
 /**
- * Runs calls at the target beside this node. Since no other process reaches
- * that target, its slots, its leaving and the word on whether a call ran are
- * decided here without agreement with anyone. For fibers of one worker.
+ * Runs calls at the target on this host. No other process reaches the target,
+ * so its slots, its planned stop and whether a call ran are decided here
+ * without agreement between nodes. For fibers of one worker.
  */
 class target_owner
 {
 public:
-    /** Called when there is something that other nodes should know. */
+    /** Called when the state that other nodes need has changed. */
     using change_callback = std::function<void()>;
 
     target_owner(const wire_names& names,
@@ -48,40 +48,41 @@
 
     void set_news(change_callback action) { m_on_change = std::move(action); }
 
-    /** Large answers go out by these turns, so their backlog is known. */
+    /** Sets the scheduler of large answers, whose backlog is reported. */
     void set_link(const link_turns& outgoing, double mbps)
     {
         m_link = &outgoing;
         m_transfer_slots = body_grants(mbps);
     }
 
-    /** An entry wants to send @p bytes here. @return see `body_grants`. */
+    /** Claims a transfer slot for a body of @p bytes. @return the wait before
+     * the next claim, see `body_grants` */
     duration claim_transfer_slot(std::uint64_t bytes)
     {
         return m_transfer_slots.claim(bytes, steady_clock::now());
     }
 
-    /** Runs one call; the request's body is kept. */
+    /** Runs one call; @p request is not changed. */
     owner_answer run(const whole_request& request,
                      const owner_call& call,
                      cancel_scope& scope);
 
-    /** Answers a call that another node sent. */
+    /** Answers a call or a load query of another node. */
     whole_response answer_peer(received_request& request, cancel_scope& scope);
 
-    /** Takes over facts of the target after a report changed them. */
+    /** Updates the state of the target after its report has changed. */
     void target_changed();
 
-    /** @return whether the target took connections when last tried. */
+    /** @return whether the last connection to the target succeeded. */
     bool is_target_up() const noexcept { return m_is_up; }
 
-    /** @return the target's last end while calls ran there, if any. */
+    /** @return the last crash of the target during calls, if any. */
     const std::optional<target_end>& last_end() const noexcept
     {
         return m_last_crash;
     }
 
-    /** @return what ran well here though targets had ended under it. */
+    /** @return known poison calls that ran well here. */
     const std::vector<good_run>& good_runs() const noexcept
     {
         return m_good_runs;
@@ -89,29 +90,29 @@
 
     const call_admission& places() const noexcept { return m_admission; }
 
-    /** @return what entries choose by: load, places, what is on its way. */
+    /** @return the load by which entries choose an owner. */
     owner_word current_load() const;
 
-    /** @return the same, and how long runs of @p work take. */
+    /** @return the same, with the run time of @p work. */
     owner_word current_load_for(const work_class& work) const;
 
     /**
-     * A call that began at this host got no answer; the target may have made
-     * it. @param for_want_of_room no target had room for it
+     * Notes that a call from this host failed; a run of the target may have
+     * made it. @param no_capacity no target had capacity for it
      */
     void call_failed(bool no_capacity);
 
-    /** Runs under way at the target. */
+    /** Active runs at the target. */
     run_registry& runs() noexcept { return m_runs; }
 
-    /** @return how runs of the present target ended, by class of work. */
+    /** @return how runs of the current target ended, by class of work. */
     const run_statistics& evidence() const noexcept { return m_run_stats; }
 
-    /** Bodies that other nodes are sending to this one. */
+    /** Bytes of bodies that other nodes are sending to this one. */
     byte_backlog& incoming() noexcept { return m_incoming; }
 
 private:
-    /** Counts a trial for as long as it lives. */
+    /** Counts a probe for the lifetime of the object. */
     class probe_guard
     {
     public:
@@ -132,51 +133,50 @@
     };
 
     owner_answer refuse(const owner_call& call, std::string reason) const;
-    /** @return whether @p target 's release gets no calls. */
+    /** @return whether the release of @p target gets no calls. */
     bool is_release_closed(const target_report& target) const;
-    /** @return whether nothing may be sent to the targets of this failure
-     * domain. */
+    /** @return whether this failure domain is drained. */
     bool is_domain_drained() const;
-    /** @return the calls a second that a cold target bears; 0: no bound. */
+    /** @return the rate limit of a cold target in calls/s; 0: none. */
     double cold_rate(time_point now) const;
-    /** @return how long a call has to wait for a cold target; zero if not. */
+    /** @return the wait until a cold target takes a call; zero if it does. */
     duration cold_wait(time_point now) const;
     owner_answer refuse_cold(const owner_call& call, duration wait) const;
-    /** @return why nothing may be sent to the target now; nothing if it may. */
+    /** @return the refusal if nothing may be sent to the target now. */
     std::optional<owner_answer> refusal_to_send(const owner_call& call) const;
-    /** @return whether a held call may run here now, as a trial. */
+    /** @return whether a quarantined call may run here now as a probe. */
     bool may_probe(const owner_call& call, const call_hold& quarantine) const;
-    /** Refuses a call that ends its targets. */
+    /** Refuses a quarantined call. */
     owner_answer refuse_quarantined(const owner_call& call,
                                     const call_hold& quarantine) const;
     owner_answer client_left(const owner_call& call) const;
     bool takes_calls() const;
     whole_response answer_load_query(const whole_request& query);
-    /** @return how long the link takes for the answers before a new one. */
+    /** @return how long the link is busy with the answers already due. */
     duration link_backlog() const;
-    /** @return the bytes to expect of the answer; 0 for small ones. */
+    /** @return the expected bytes of a large answer; 0 for small ones. */
     std::uint64_t large_answer(const work_class& work) const;
-    /** @return how long the answer would wait for the link, if that is too
-     * long to run the call. */
+    /** @return how long the answer would wait for the link if that is too long
+     * to run the call; nothing if it is not. */
     std::optional<duration> excess_link_wait(const owner_call& call) const;
     duration expected_run(const owner_call& call) const;
-    /** @return by when an answer is worth most, for the order of waiting. */
+    /** @return the time by which the queue orders the call. */
     time_point due(const owner_call& call) const;
     owner_answer send(const whole_request& request,
                       const owner_call& call,
                       const target_report& target,
                       cancel_scope& scope);
     /**
-     * Asks after a call got no answer: a target that lost one connection takes
-     * another, one whose process ended refuses it. @return whether it ended
+     * Tests after a lost answer whether the target has crashed: a live target
+     * takes a new connection, a dead process refuses it.
      */
     bool has_crashed(const target_report& target);
-    /** Tells the others which calls ran at the target when it ended. */
+    /** Records a crash for the other nodes, with the calls that were active. */
     void record_crash(const target_report& target);
     target_end make_crash_record(const target_report& target);
-    /** @p request ran to a good end. @param was_held and was on trial */
+    /** Records a good run. @param was_quarantined the run was a probe */
     void record_good_run(const whole_request& request, bool was_quarantined);
-    /** Clears a call that runs here again and again of targets' ends. */
+    /** Announces a known poison call that runs well here, which clears it. */
     void announce_good_run(const whole_request& request);
     owner_answer classify_result(const owner_call& call,
                                  exchange_result result) const;
@@ -199,15 +199,15 @@
     run_statistics m_run_stats;
     run_estimates m_run_times;
     answer_sizes m_answer_sizes;
-    byte_backlog m_reserved_answers; ///< by the runs under way
+    byte_backlog m_reserved_answers; ///< of the active runs
     const link_turns* m_link = nullptr;
     body_grants m_transfer_slots{0};
     bool m_is_up = true;
-    time_point m_crashed_at{}; ///< when that was
+    time_point m_crashed_at{}; ///< time of the last crash
     std::optional<target_end> m_last_crash;
     std::vector<good_run> m_good_runs;
     recent_runs m_recent_good_runs;
-    int m_active_probes = 0; ///< under way; one at a time
+    int m_active_probes = 0; ///< at most one
     failure_shedder m_shedder;
     random_source m_random{entropy_seed()};
     latency_histogram& m_waits;
--- a/src/proxy/target_owner.cpp
+++ b/src/proxy/target_owner.cpp
@@ -12,38 +12,36 @@
 
 namespace http = boost::beast::http;
 
-// The target is on the same host: a connection that takes longer than this
-// is refused by a full backlog or a target that hangs.
+// The target is on the same host: a slower connection means that its backlog is
+// full or that it hangs.
 constexpr milliseconds connect_timeout(300);
-// Idle connections kept to the target; more than its slots are never used.
+// Limit of idle connections to the target.
 constexpr std::size_t max_idle = 32;
-// A target that names no time closes idle connections after this, at least.
+// Idle timeout of a target that names none.
 constexpr std::chrono::seconds default_idle_timeout(4);
-// The target closes at the time it told; what is sent later is lost.
+// A request sent just before the target closes the connection would be lost.
 constexpr milliseconds idle_margin(1'000);
-// A process takes longer to start again; all runs that its end cut short are
-// told of it within this.
+// A process takes longer to restart; all active runs of a crash learn of it
+// within this time.
 constexpr milliseconds min_crash_interval(500);
-// Calls that wait at once; the wait limit of each call binds before this.
+// Limit of queued calls; the wait limit of each call takes effect before this.
 constexpr std::int64_t max_queued_calls = 512;
 constexpr std::chrono::seconds max_wait(60);
-// An order to send nothing more to the targets of a failure domain.
+// Reason for refusing a call while the failure domain is drained.
 constexpr const char* domain_drained = "domain_drained";
 constexpr unsigned status_misdirected = 421;
 constexpr unsigned status_server_error = 500;
-// What is served late costs a place that a call in time could have. Of a half,
-// a quarter, an eighth and a sixteenth of the objective the last served most in
-// time.
+// Maximum wait of a call, as a fraction of its objective. A call that is served
+// late takes a slot from one that could be served in time.
 constexpr int wait_divisor = 16;
-// A nested call that is refused fails a run that already holds a place
-// elsewhere, so it may wait longer. A third is 40 of 120 ms: with 30 ms runs
-// failed for nothing, with 200 ms the calls of clients were refused first.
+// The same for a nested call. It may wait longer, because a refusal fails a run
+// that already holds a slot elsewhere.
 constexpr int nested_wait_divisor = 3;
-// In an overload those who came back took the places of those who came first,
-// who came back in their turn: half of what was served came late. So what can
-// no longer be in time goes behind all that can. Longer than any objective.
+// In an overload late calls must not delay those that can still be in time, or
+// retries displace first tries and become late in turn. Longer than any
+// objective.
 constexpr std::chrono::minutes late_call_penalty(10);
-// Statuses by which a client is promised that its call did not run.
+// Statuses that promise the client that its call did not run.
 constexpr std::array not_run_statuses{408U, 421U, 429U, 503U};
 
 admission_limits limits_for(std::int64_t slots)
@@ -55,13 +53,13 @@
     return limits;
 }
 
-/** @return how long a call may be expected to wait before it is refused. */
+/** @return the longest expected wait at which a call is still admitted. */
 duration most_wait(const owner_call& call)
 {
     return call.objective / (call.nested ? nested_wait_divisor : wait_divisor);
 }
 
-/** @return whether a whole run ended; a failed one may have ended early. */
+/** @return whether a run ended without a server error. */
 bool is_good_run(const owner_answer& answer)
 {
     return answer.end == call_end::answered &&
@@ -115,14 +113,14 @@
 {
     const auto* target = m_targets.in_use();
     owner_word report;
-    // Without runs the load of one that takes no calls would attract them all.
+    // An idle target that takes no calls must not attract them by a low load.
     report.load =
         takes_calls() ? m_admission.load() : std::max(1.0, m_admission.load());
     report.slots = target == nullptr ? 0 : static_cast<double>(target->slots);
     const auto now = steady_clock::now();
     if (const double rate = cold_rate(now); rate > 0)
     {
-        // Entries take it for as small as it is while it is cold.
+        // Entries see a cold target as one of as many slots as its rate allows.
         const std::chrono::duration<double> run = m_admission.mean_run();
         report.slots =
             std::min(report.slots, std::max(1.0, rate * run.count()));
@@ -314,14 +312,14 @@
     }
     if (verdict != admission_verdict::run)
         return refuse(call, std::string(name_of(verdict)));
-    // What holds of the target may have changed while the call waited.
+    // The target's state may have changed while the call was queued.
     if (auto refused = refusal_to_send(call))
     {
         m_admission.release(m_admission.mean_run());
         return std::move(*refused);
     }
     const auto* target = m_targets.in_use();
-    // Asked behind all waiting: the news may have come meanwhile.
+    // Checked after the wait in the queue: crash records may have arrived.
     const auto quarantine = hold_of(*m_board.suspects.get(), request);
     if (quarantine && !may_probe(call, *quarantine))
     {
@@ -379,7 +377,7 @@
     sent.set(m_names.time_left,
              std::to_string(std::max<std::int64_t>(
                  1, to_ms(call.deadline - steady_clock::now()))));
-    // Framing is by length, whatever it was before.
+    // The body is framed by its length, whatever the framing before.
     if (!sent.body().empty() || request.has_content_length() ||
         request.chunked())
         sent.content_length(sent.body().size());
@@ -401,7 +399,7 @@
     }
     if (scope.is_cancelled_now())
         return client_left(call);
-    // Waiting for the connection may have used the rest of the time.
+    // The wait for the connection may have used up the remaining time.
     if (steady_clock::now() >= call.deadline ||
         m_targets.has_left(target.start()))
         return refuse(call, "too_late_to_send");
@@ -426,7 +424,7 @@
 {
     const auto* used = m_targets.in_use();
     if (used == nullptr || used->start() != target.start())
-        return false; // it said that it leaves, and may end as it likes
+        return false; // it is in a planned stop and may exit at any time
     const auto failed =
         m_pool.probe(target.where, connect_timeout,
                      duration(default_idle_timeout) - idle_margin);
@@ -434,7 +432,7 @@
         return false;
     const auto now = steady_clock::now();
     if (now < m_crashed_at + min_crash_interval)
-        return true; // another run that was there has told it
+        return true; // another active run has already recorded the crash
     m_crashed_at = now;
     record_crash(target);
     return true;
@@ -470,7 +468,7 @@
         answer.reason = "a success that the target does not vouch for";
         return answer;
     }
-    // Passed on, such a status would promise a client what is not known.
+    // If forwarded, such a status would make a promise that is not certain.
     if (!may_repeat(call.kind) &&
         std::ranges::find(not_run_statuses, status) != not_run_statuses.end())
     {
@@ -492,7 +490,7 @@
     answer.end = call_end::not_run;
     answer.report = current_load();
     if (const auto bytes = claimed_bytes(query))
-        // Rounded up: zero is the word that the body may come.
+        // Rounded up, because zero grants the slot.
         answer.retry_after =
             std::chrono::ceil<milliseconds>(claim_transfer_slot(*bytes));
     return to_hop_response(std::move(answer), call, m_names.request_id);
--- a/src/proxy/target_owner_crashes.cpp
+++ b/src/proxy/target_owner_crashes.cpp
@@ -1,5 +1,4 @@
-/** @file The part of the owner that tells which calls its target ended under.
- */
+/** @file The part of the owner that records crashes of its target. */
 #include "tillerhall/proxy/call_fingerprint.hpp"
 #include "tillerhall/proxy/target_owner.hpp"
 
@@ -12,8 +11,7 @@
 namespace
 {
 
-// Until the word for a call has come back to this node it is not was_announced
-// again.
+// An announcement is not repeated before it can have reached this node again.
 constexpr std::uint64_t announce_interval_ms = 1'000;
 constexpr std::size_t max_announced = 16;
 
@@ -30,7 +28,7 @@
 void target_owner::record_good_run(const whole_request& request,
                                    bool was_quarantined)
 {
-    // One run is not worth telling: most calls of an end never come again.
+    // A single good run is not announced: most such calls are never retried.
     if (was_quarantined || m_recent_good_runs.contain(request))
         announce_good_run(request);
     else
