--- a/include/tillerhall/proxy/owner_choice.hpp
+++ b/include/tillerhall/proxy/owner_choice.hpp
@@ -16,28 +16,28 @@
 /** The owner for a call, or why there is none. */
 struct chosen_owner
 {
-    member_ptr owner; ///< null if none is left or all links are full
-    /** How long the links of the owners are full; zero if they are not. */
+    member_ptr owner; ///< null if none is left or no link takes the call
+    /** How long all links stay full; zero if one is free. */
     duration links_full_for{};
-    /** When to come back if all have just refused such calls, else zero. */
+    /** Retry-After if all owners refused such calls just now, else zero. */
     duration owners_full_for{};
 };
 
 /**
- * Chooses by what is known of the owners, and asks a few of them before where
- * that is too little: who has room in a large service, see `load_inquiry`; and
- * whose link is free for a large body or a large answer. How long the answer
- * to a question takes tells how much waits on the link there, and a body that
- * is sent to a full link delays all calls there. For fibers of one worker.
+ * Chooses by the load that owners have reported, and queries a few owners first
+ * if that is not recent enough: in a large service for owners that have room,
+ * see `load_inquiry`; for a large body or a large answer for a free link. The
+ * round trip of a query shows the backlog of the link, and a body sent to a
+ * full link would delay all calls there. For fibers of one worker.
  */
 class owner_choice
 {
 public:
-    /** Asks an owner for its word. @return nothing if it does not answer. */
+    /** Queries an owner's load. @return nothing if it does not answer */
     using load_query_fn =
         std::function<std::optional<owner_word>(const member&)>;
-    /** Claims a turn for a body on an owner's link. @return how long to wait
-     * before asking again, zero if it may be sent; nothing if none answers. */
+    /** Claims a transfer slot for a body on an owner's link. @return the wait
+     * before the next claim, zero if granted; nothing if there is no answer */
     using slot_claim_fn =
         std::function<std::optional<duration>(const member&, std::uint64_t)>;
 
@@ -50,10 +50,10 @@
 
     /**
      * @param candidates owners of the service's targets
-     * @param avoid those that were tried for this call
-     * @param bytes of the call's body
-     * @param work its objective counts: a body that would be on its way for
-     * more than a part of it is not sent
+     * @param avoid owners that have been tried for this call
+     * @param bytes size of the call's body
+     * @param work class of the call; a body whose transfer would take too
+     * large a part of the objective is not sent
      */
     chosen_owner choose(const std::vector<member_ptr>& candidates,
                         const std::vector<address>& avoid,
@@ -64,10 +64,10 @@
     struct pending_queries;
     struct wait_limits;
 
-    /** @return the best owner of @p answered whose link takes the body now. */
+    /** @return the best owner of @p answered that grants a slot in time. */
     chosen_owner claim_transfer_slot(const std::vector<member_ptr>& answered,
                                      const call_origin& from);
-    /** @return the one to send a small call with a small answer to. */
+    /** @return the owner for a call with a small body and a small answer. */
     member_ptr choose_small(const std::vector<member_ptr>& candidates,
                             const std::vector<address>& avoid,
                             const call_origin& from);
@@ -75,7 +75,7 @@
     outlooks_of(const std::vector<member_ptr>& candidates,
                 const std::vector<address>& avoid,
                 const call_origin& from) const;
-    /** @return those that were asked and answered. */
+    /** @return the owners that were queried and answered. */
     std::vector<member_ptr>
     query_for_room(const std::vector<member_ptr>& candidates,
                    const std::vector<owner_outlook>& outlooks,
@@ -87,7 +87,7 @@
     choose_owners_to_query(const std::vector<member_ptr>& candidates,
                            std::vector<address> avoid,
                            const call_origin& from);
-    /** @return those that answered within the time given. */
+    /** @return the owners that answered within the limits. */
     std::vector<member_ptr> query_loads(const std::vector<member_ptr>& owners,
                                         const wait_limits& waits);
     void query_one(const member_ptr& owner, pending_queries& queries);
@@ -100,7 +100,7 @@
     slot_claim_fn m_claim_slot;
     random_source m_random;
     load_inquiry m_load_inquiry;
-    /** Owners that did not answer, until when they are not asked again. */
+    /** Owners that did not answer; they are not queried until then. */
     std::map<address, time_point> m_unresponsive_until;
 };
 
--- a/src/proxy/owner_choice.cpp
+++ b/src/proxy/owner_choice.cpp
@@ -11,45 +11,44 @@
 namespace
 {
 
-// On a slow link, 10 Mbit/s, this takes 13 ms: more
-// than to ask costs (a round trip between domains, 3 ms, and the work).
+// Bytes. Larger bodies take longer on a link of 10 Mbit/s than the query of an
+// owner does.
 constexpr std::size_t large_body_bytes = 16 * 1024;
-// Of two the better one is rarely bad (Mitzenmacher, 2001). A third one is
-// from another domain, for when the links of this one are full.
+// The better of two random choices is rarely bad (Mitzenmacher, 2001). The
+// third one is from another failure domain, in case the near links are full.
 constexpr std::size_t max_queried = 3;
-// If nobody answers by then, all links are full, or this node's own is. Behind
-// the first answer the others have this long: who takes longer has about a body
-// (60 KB at 10 Mbit/s) more before it on its link.
+// Waits for answers before a large body. If no owner answers within the first
+// one, all links are full or this node's own is. An owner that answers later
+// than the second one behind the first answer has about one body more in its
+// backlog.
 constexpr milliseconds large_first_wait(200);
 constexpr milliseconds large_later_wait(50);
-// Before a small call: a round trip between domains and the work on two hosts
-// with a tenth of a core take some 5 ms. Never more than this part of the
-// call's objective, of which calls by targets have 400 ms or less.
+// Waits for answers before a small call: a round trip between failure domains
+// and the work on two hosts. Limited to a fraction of the call's objective.
 constexpr milliseconds small_first_wait(20);
 constexpr milliseconds small_later_wait(4);
 constexpr int query_wait_divisor = 20;
-// A host without power or cut off does not come back sooner than in seconds,
-// and each question to it takes the whole time for asking.
+// Each query to an unreachable host takes the full wait, and such a host
+// rarely returns within this time.
 constexpr milliseconds unresponsive_pause(1'000);
 
-// A body that takes more of its objective on the way is mostly late, and what
-// is behind it on that link is late for it. The calls that targets make have
-// such objectives (200 of 1000 ms), and must not wait longer either.
+// A body whose transfer takes more than this fraction of its objective is
+// mostly late, and delays the calls behind it on that link.
 constexpr int transfer_time_divisor = 5;
-// A turn comes free each 70 ms at a link of 7 Mbit/s with bodies of 60 KB. So
-// long it is waited for; who is sent away comes back as one more of many.
+// How long a body waits for a transfer slot, as a fraction of the objective. A
+// slot becomes free within that; a refused client would retry.
 constexpr int slot_wait_divisor = 8;
 
 } // namespace
 
-/** How long answers are waited for. */
+/** How long answers to load queries are waited for. */
 struct owner_choice::wait_limits
 {
-    duration first; ///< for the first of them
-    duration later; ///< for the others, behind the first
+    duration first; ///< for the first answer
+    duration later; ///< for the others after the first
 };
 
-/** One question to several owners; outlives the asking. */
+/** Load queries to several owners; outlives all of them. */
 struct owner_choice::pending_queries
 {
     pending_queries(boost::asio::io_context& io, const wait_limits& waits)
@@ -191,10 +190,10 @@
         return best_known;
     const auto outlooks = outlooks_of(candidates, avoid, from);
     std::vector<member_ptr> answered;
-    // Where a first try found no room a second one that asks adds to the load.
+    // A retry after a full owner must not add to the load by queries.
     if (avoid.empty())
         answered = query_for_room(candidates, outlooks, best_known, from);
-    // A full owner that is fast looks better by its time than a slow free one.
+    // By time alone a full fast owner would be preferred to a slow free one.
     auto with_room = answered;
     std::erase_if(with_room, [&](const member_ptr& each)
                   { return !m_targets.has_room(each->rpc); });
@@ -239,7 +238,7 @@
                                     std::ranges::find(avoid, each->rpc) ==
                                         avoid.end();
                          });
-    // Any of them: by the policy all nodes would ask the same one.
+    // Chosen at random: by the policy all nodes would query the same owner.
     if (!remote.empty())
         add(remote[m_random.below(remote.size())]);
     while (queried.size() < max_queried)
