--- a/include/tillerhall/proxy/caller_check.hpp
+++ b/include/tillerhall/proxy/caller_check.hpp
@@ -1,4 +1,4 @@
-/** @file Which account a call is made for, by the key that it carries. */
+/** @file Determines the client account of a call from its key. */
 #pragma once
 
 #include "tillerhall/http/whole_message.hpp"
@@ -7,21 +7,21 @@
 namespace tillerhall
 {
 
-/** What is known of who makes a call. */
+/** Result of the check of a caller. */
 enum class caller_standing
 {
-    anyone,   ///< no account is asked for, and none is named
-    account,  ///< the key of an account
-    target,   ///< made in the course of a run; acts for no account
-    unproved, ///< no key, and it may be a call of a run that is not known
-    not_known ///< no key, no readable one or one that nobody holds
+    anyone,   ///< no account is required and none is given
+    account,  ///< the key belongs to an account
+    target,   ///< made by a run of the local target; uses no account
+    unproved, ///< no key, and perhaps made by a run that is not known
+    not_known ///< no key, a malformed one or one without an account
 };
 
-/** Who makes a call. */
+/** The caller of a call. */
 struct caller_identity
 {
     caller_standing standing = caller_standing::anyone;
-    const client_account* account = nullptr; ///< valid as long as the routes
+    const client_account* account = nullptr; ///< owned by the routes
 
     bool may_call() const noexcept
     {
@@ -30,19 +30,19 @@
     }
 };
 
-/** What this node knows of a call beside its head. */
+/** What the request id shows about the origin of a call. */
 struct caller_evidence
 {
-    bool made_by_run = false;  ///< of the target here, as its id tells
-    bool looks_nested = false; ///< its id is of the form that runs' calls have
+    bool made_by_run = false;  ///< it names an active run of the local target
+    bool looks_nested = false; ///< it has the form of an id made by a run
 };
 
 /**
- * A key is asked for wherever the version has accounts and the route is not
- * open; a key that nobody holds is refused also on open routes. Only a call
- * whose id names a run under way here counts as the target's own. One that has
- * no key but looks like one, for example of a run from before this process
- * started, is not told that its key is wrong. Pure.
+ * Checks the key of a call. A key is required if the version has accounts and
+ * the route is not open; an unknown key is refused on open routes too. A call
+ * without a key is accepted as the target's own only if its id names an active
+ * run here. If the id merely looks nested, perhaps because this process has
+ * restarted since, the result is `unproved`, not `not_known`. Pure.
  */
 caller_identity identify_caller(const whole_request& request,
                                 const call_routes& routes,
--- a/src/proxy/caller_check.cpp
+++ b/src/proxy/caller_check.cpp
@@ -14,7 +14,7 @@
 
 constexpr std::string_view scheme = "Bearer";
 
-/** @return the key of a field "Bearer KEY", empty if it is none. */
+/** @return the key of a field "Bearer KEY", empty if it has another form. */
 std::string_view key_in(std::string_view field)
 {
     const auto cut = field.find(' ');
