--- a/include/tillerhall/proxy/call_fingerprint.hpp
+++ b/include/tillerhall/proxy/call_fingerprint.hpp
@@ -1,4 +1,4 @@
-/** @file Names a call by what its target reads of it. */
+/** @file Identifies equal calls by the parts that a target reads. */
 #pragma once
 
 #include "tillerhall/core/address.hpp"
@@ -15,30 +15,31 @@
 class suspect_calls;
 
 /**
- * A name that all tries of one call share, whoever sends them and wherever
- * they come in: each try has an id of its own. It covers method, host, path,
- * query and body. Who calls is left out: the same call may begin at hosts of
- * several services, and what ends a target from one ends it from the others.
+ * An identifier shared by all tries of one call, whichever client sends them
+ * and whichever entry receives them; request ids differ for each try. Covers
+ * method, host, path, query and body. The caller is left out because a call
+ * that crashes a target for one caller does so for all.
  */
 struct call_fingerprint
 {
-    std::string head; ///< of all but the body
-    std::string body; ///< empty where there is none
+    std::string head; ///< digest of method, host, path and query
+    std::string body; ///< digest of the body; empty without a body
 
-    /** @return both in one text, for logs and for other nodes. */
+    /** @return both parts as one text, for logs and for other nodes. */
     std::string text() const { return body.empty() ? head : head + '.' + body; }
 };
 
-/** @return the part that needs no look at the body. */
+/** @return the part of the fingerprint that does not need the body. */
 std::string head_fingerprint(const whole_request& request);
 
-/** @return the name of @p request; reads the whole body. */
+/** @return the fingerprint of @p request; reads the whole body. */
 call_fingerprint fingerprint_of(const whole_request& request);
 
 /**
- * @return how @p request is held, see `suspect_calls::hold_of`.
- * Nothing is digested while no end of a target is known; then 0.6 us a call,
- * and 0.8 us for each KB of body where the head is a suspect's.
+ * @return the quarantine of @p request, see `suspect_calls::hold_of`.
+ * Computes no digest while no crash is known, and none of the body unless the
+ * head matches a known poison call.
+ * @param ended_at owners whose target crashed in the present try
  */
 std::optional<call_hold> hold_of(const suspect_calls& known,
                                  const whole_request& request,
--- a/src/proxy/call_fingerprint.cpp
+++ b/src/proxy/call_fingerprint.cpp
@@ -9,8 +9,8 @@
 namespace
 {
 
-// 64 bits for each part: of a thousand calls that are named at once two share
-// a name once in 10^13 times.
+// 64 bits for each part: the probability that two of a thousand calls share a
+// fingerprint is negligible.
 constexpr std::size_t digest_part_digits = 16;
 
 std::string digest_part(std::string_view text)
