--- a/include/tillerhall/proxy/recent_runs.hpp
+++ b/include/tillerhall/proxy/recent_runs.hpp
@@ -1,4 +1,4 @@
-/** @file Remembers what has lately run well at a target. */
+/** @file Remembers calls that recently ran well at a target. */
 #pragma once
 
 #include "tillerhall/http/whole_message.hpp"
@@ -12,34 +12,30 @@
 {
 
 /**
- * Keeps calls that many clients make from being blamed for a target's end:
- * such a call runs at every target at almost every moment, so it is there when
- * any of them ends. What has run well there, and did not see an end since, is
- * not named. On 1,000 played days 18,032 of 720,000 tries of such calls were
- * refused without it, 9 with it.
+ * Keeps frequent calls from being blamed for a target's crash: such a call is
+ * active at nearly every moment, and so during any crash. A call that has run
+ * well since the last crash during which it was active is not reported.
  *
- * A slot for each of the last calls, the newer one kept where two fall on one:
- * 32 KB, some 40 s of a hundred runs a second. Noting a run takes 40 ns, and
- * 0.2 us for each KB of its body (runs in a loop, on one core).
+ * A direct-mapped table of hashes; on a collision the newer entry stays.
  */
 class recent_runs
 {
 public:
-    /** @p request ran to a good end. */
+    /** Adds @p request after a good run. */
     void ran(const whole_request& request)
     {
         const auto hash = hash_of(request);
         m_slots[hash % m_slots.size()] = hash;
     }
 
-    /** @return whether it has lately; never true of a call that has not. */
+    /** @return whether it ran well recently; false if it was overwritten. */
     bool contain(const whole_request& request) const
     {
         const auto hash = hash_of(request);
         return m_slots[hash % m_slots.size()] == hash;
     }
 
-    /** The target ended while @p request ran there. */
+    /** Removes @p request: the target crashed while it ran. */
     void forget(const whole_request& request)
     {
         const auto hash = hash_of(request);
