--- a/include/tillerhall/proxy/run_registry.hpp
+++ b/include/tillerhall/proxy/run_registry.hpp
@@ -1,4 +1,4 @@
-/** @file The runs under way at a target: which they are, what they call. */
+/** @file The active runs at a target, and the calls that they make. */
 #pragma once
 
 #include "tillerhall/http/whole_message.hpp"
@@ -14,9 +14,9 @@
 {
 
 /**
- * Tells which run made a call. A target that makes a call in the course of a
- * run may name it by the run's own id, a dot and more, as tracing does. Where
- * targets name their calls otherwise nothing is told. For fibers of one worker.
+ * Finds the run that made a call. Targets may name a call that they make by
+ * the id of the run, a dot and a suffix, as tracing does; with other ids no
+ * run is found. For fibers of one worker.
  */
 class run_registry
 {
@@ -29,11 +29,11 @@
     using run_map = std::multimap<std::string, entry, std::less<>>;
 
 public:
-    /** Registers a run for as long as it lives. */
+    /** Registers a run for the lifetime of the object. */
     class run
     {
     public:
-        /** @param request outlives the run */
+        /** @param request must outlive the run */
         run(run_registry& in,
             std::string id,
             const work_class& work,
@@ -44,7 +44,7 @@
         }
         ~run() { m_in.m_runs.erase(m_at); }
 
-        /** @return whether a call that it made got no good answer. */
+        /** @return whether a call that the run made has failed. */
         bool nested_call_failed() const
         {
             return m_at->second.nested_call_failed;
@@ -58,16 +58,16 @@
         run_map::iterator m_at;
     };
 
-    /** @return the work of the run that made the call @p id, if one did. */
+    /** @return the work class of the run that made the call @p id, if any. */
     std::optional<work_class> parent_of(std::string_view id);
 
-    /** The call @p id got no good answer: whichever run made it may fail. */
+    /** Marks the run that made the call @p id: one of its calls failed. */
     void call_failed(std::string_view id);
 
-    /** @return the requests that run now. */
+    /** @return the requests of the active runs. */
     std::vector<const whole_request*> active_requests() const;
 
-    /** @return whether an id has ever told of a run here. */
+    /** @return whether an id has ever named a run here. */
     bool ids_name_parents() const noexcept { return m_ids_name_parents; }
 
 private:
--- a/include/tillerhall/proxy/run_statistics.hpp
+++ b/include/tillerhall/proxy/run_statistics.hpp
@@ -1,4 +1,4 @@
-/** @file How the runs at a target ended, told to compare releases by. */
+/** @file Counts how runs at a target ended, for the comparison of releases. */
 #pragma once
 
 #include "tillerhall/proxy/owner_answer.hpp"
@@ -9,30 +9,30 @@
 namespace tillerhall
 {
 
-/** How one run ended, beside its answer. */
+/** What is known of a run besides its answer. */
 struct run_context
 {
     duration took{};
-    bool is_cold = false;            ///< the target is slow from its start
-    bool nested_call_failed = false; ///< a call that the run made got no answer
+    bool is_cold = false;            ///< the target had just started
+    bool nested_call_failed = false; ///< a call that the run made failed
 };
 
-/** Counts runs of the target's present start; for fibers of one worker. */
+/** Counts the runs of the target's current start; for fibers of one worker. */
 class run_statistics
 {
 public:
-    /** The target @p id is in use; another id begins anew, so that no start of
-     * a target is told the runs of an earlier one. */
+    /** Sets the start in use to @p id. A new id resets the counts, so that the
+     * runs of one start are never attributed to another. */
     void set_target(const std::string& id);
 
-    /** A call is taken for the target @p id. */
+    /** Counts a call accepted for the start @p id, and sets it in use. */
     void run_started(const std::string& id);
 
     /**
-     * One of the target @p id ended. Not counted is what says nothing of the
-     * target: it did not run, the client left, or the run failed after a call
-     * that it made had failed, which is the doing of another service; nor a run
-     * of an earlier start than the one in use.
+     * Counts the end of a run of the start @p id. Ignores runs that say nothing
+     * about the target: calls that did not run, calls whose client left, runs
+     * that failed after a nested call had failed at another service, and runs
+     * of an earlier start.
      */
     void run_finished(const std::string& id,
                       const work_class& work,
--- a/src/proxy/run_statistics.cpp
+++ b/src/proxy/run_statistics.cpp
@@ -39,13 +39,13 @@
         (!good && context.nested_call_failed))
         return;
     auto& counts = m_counts[work];
-    // A run that its time ended tells of its pace, not that it would fail.
+    // A run cut short by its deadline shows its speed, not a failure.
     const bool was_cut = answer.end == call_end::timed_out;
     if (!was_cut)
         ++counts.ended;
     if (!was_cut && !good)
         ++counts.failed;
-    // A failure may come early, so its time tells nothing.
+    // A failed run may have ended early, so its time is not counted.
     if (!context.is_cold && (good || was_cut))
         ++counts.took[run_counts::bucket_of(context.took)];
 }
