--- a/include/tillerhall/proxy/owner_answer.hpp
+++ b/include/tillerhall/proxy/owner_answer.hpp
@@ -1,4 +1,4 @@
-/** @file What an entry asks of an owner, what it is told, and both as HTTP. */
+/** @file Calls from an entry to an owner, the answers, and both as HTTP. */
 #pragma once
 
 #include "tillerhall/http/whole_message.hpp"
@@ -17,7 +17,7 @@
 /** How a call ended, as far as is known. */
 enum class call_end
 {
-    answered,  ///< the target gave a whole answer
+    answered,  ///< the target gave a complete answer
     not_run,   ///< it did not run and will not
     unknown,   ///< it may have run
     timed_out, ///< it may have run; its time is over
@@ -26,7 +26,7 @@
 
 std::string_view name_of(call_end end) noexcept;
 
-/** A call on its way to the owner of a target. */
+/** A call that an entry forwards to the owner of a target. */
 struct owner_call
 {
     std::string request_id;
@@ -34,17 +34,16 @@
     std::string origin; ///< service of the host where the call began
     call_kind kind = call_kind::once;
     std::uint32_t rank = 0;
-    std::uint32_t account_rank = 0; ///< goes before `rank`
-    /** That it is made for, none if empty; not set without accounts. */
+    std::uint32_t account_rank = 0; ///< has precedence over `rank`
+    /** Name of the account, empty if none; unset if there are no accounts. */
     std::optional<std::string> account;
     time_point deadline{};
-    duration objective{};  ///< within which an answer is worth most
-    duration elapsed{};    ///< since its client's first try, if that was before
+    duration objective{};  ///< latency objective of the route
+    duration elapsed{};    ///< since the client's first try; 0 on a first try
     bool nested = false;   ///< made by a target in the course of a run
-    bool is_probe = false; ///< of a held call, to see whether it still is one
+    bool is_probe = false; ///< shows whether a quarantined call still crashes
 
-    /** @return its urgency among all that wait: the account's, then the
-     * route's. */
+    /** @return the priority in the queue: account rank, then route rank. */
     std::uint32_t urgency() const noexcept
     {
         constexpr std::uint32_t ranks_of_routes = 256;
@@ -52,7 +51,7 @@
                std::min(rank, ranks_of_routes - 1);
     }
 
-    /** @return what runs, answers and budgets are compared by. */
+    /** @return the class by which runs, answers and budgets are grouped. */
     work_class work() const
     {
         return {rank, std::chrono::duration_cast<milliseconds>(objective),
@@ -61,9 +60,9 @@
 };
 
 /**
- * @return whether @p status is of a server. A client that tries again after it
- * does so on a new connection. Left open, the old one would stay idle: in an
- * overload hundreds a node did.
+ * @return whether @p status is 5xx. After such a response the connection is
+ * closed: clients retry on a new one, and in an overload the old ones would
+ * pile up.
  */
 constexpr bool is_server_error(unsigned status) noexcept
 {
@@ -71,46 +70,46 @@
     return status >= server_errors;
 }
 
-/** What became of it. */
+/** The outcome of a call. */
 struct owner_answer
 {
     call_end end = call_end::unknown;
     std::optional<whole_response> response; ///< the target's, if answered
-    std::string reason;                     ///< why, unless answered
+    std::string reason;                     ///< set unless answered
     bool reached = false; ///< the target has, or may have, seen the call
-    bool others_would_refuse = false; ///< other targets would refuse it as well
+    bool others_would_refuse = false; ///< for the same reason
     bool target_crashed = false;      ///< while the call ran there
-    duration retry_after{};           ///< of a refusal
+    duration retry_after{};           ///< for a refusal
     owner_word report;
 };
 
-/** Why a call is refused that targets have ended under. */
+/** Reason for refusing a quarantined call. */
 inline constexpr const char* ends_its_targets = "ends_its_targets";
 
-/** Stands for the id of a call in a question and its answer. */
+/** Request id of load queries and of the answers to them. */
 inline constexpr const char* load_query_id = "load";
 
-/** @return a request that asks an owner for its load; nothing runs. */
+/** @return a request that asks an owner for its load; runs nothing. */
 whole_request load_query(const std::string& id_field);
 
-/** @return the same, claiming a turn on the owner's link for a body: the
- * answer's time to come back is zero if it may be sent now. */
+/** @return a load query that also claims a transfer slot for a body on the
+ * owner's link. A `retry_after` of zero in the answer grants the slot. */
 whole_request transfer_slot_claim(const std::string& id_field,
                                   std::uint64_t bytes);
 
-/** @return the bytes of the body that @p question claims a turn for. */
+/** @return the bytes of the body that @p query claims a slot for. */
 std::optional<std::uint64_t> claimed_bytes(const whole_request& query);
 
-/** @return whether @p request only asks for the load. */
+/** @return whether @p request is a load query. */
 bool is_load_query(const whole_request& request);
 
-/** Writes @p call into @p request, which goes to another node. */
+/** Writes @p call into the fields of @p request for another node. */
 void write_hop_fields(whole_request& request,
                       const owner_call& call,
                       time_point now);
 
-/** Reads the call out of a request from another node and removes the fields.
- * @return nothing if a field is missing or malformed. */
+/** Reads the call from a request of another node and removes its fields.
+ * @return nothing if a field is missing or malformed */
 std::optional<owner_call> take_hop_fields(received_request& request,
                                           const std::string& id_field);
 
@@ -119,7 +118,7 @@
                                const owner_call& call,
                                const std::string& id_field);
 
-/** Reads what another node answered; `unknown` if it is no owner's answer. */
+/** Parses another node's response; `unknown` if it is not an owner's. */
 owner_answer from_hop_response(whole_response response);
 
 } // namespace tillerhall
--- a/include/tillerhall/proxy/wire_names.hpp
+++ b/include/tillerhall/proxy/wire_names.hpp
@@ -1,4 +1,4 @@
-/** @file Names of the header fields that callers, targets and nodes use. */
+/** @file Names of the header fields used by callers, targets and nodes. */
 #pragma once
 
 #include <string>
@@ -7,25 +7,24 @@
 {
 
 /**
- * What the services around the mesh call the fields that the mesh reads and
- * writes. The defaults are the project's own; an adapter for a platform with
- * other names hands in its own table.
+ * Names of the fields that the mesh reads and writes for the services around
+ * it. An adapter for a platform with other names replaces the defaults.
  */
 struct wire_names
 {
-    /** Names one try of a client; targets echo it. */
+    /** Identifies one try of a client; targets echo it. */
     std::string request_id = "X-Request-Id";
-    /** Milliseconds that are left; from clients, and to targets. */
+    /** Remaining milliseconds; sent by clients, and to targets. */
     std::string time_left = "Tillerhall-Deadline-Ms";
-    /** The service of the host where a call began; written by the mesh. */
+    /** Service of the host where a call began; set by the mesh. */
     std::string caller = "Tillerhall-Caller";
-    /** Which start of a target is meant; any other refuses with 421. */
+    /** The start of a target that is meant; any other responds with 421. */
     std::string expected_target = "Tillerhall-Expect-Target";
-    /** Present when a target refused a call without running it. */
+    /** Present if a target refused a call without running it. */
     std::string not_run = "X-Not-Run";
-    /** With which a target vouches for a success; empty: it does not. */
+    /** Field by which a target confirms a success; empty if it has none. */
     std::string proof;
-    /** The account that a call is made for; written by the mesh. */
+    /** Client account of a call; set by the mesh. */
     std::string account = "Tillerhall-Account";
 };
 
@@ -35,31 +34,32 @@
 inline constexpr const char* service = "Tillerhall-Service";
 inline constexpr const char* kind = "Tillerhall-Kind";
 inline constexpr const char* rank = "Tillerhall-Rank";
-/** Urgency of the account that the call is made for, and its name. */
+/** Rank and name of the client account. */
 inline constexpr const char* account_rank = "Tillerhall-Account-Rank";
 inline constexpr const char* account_name = "Tillerhall-Account-Name";
-/** Present where a version has accounts, so that no client's word of its own
- * account gets through. */
+/** Present if the version has accounts; the account field of the client is
+ * then replaced or removed. */
 inline constexpr const char* has_accounts = "Tillerhall-Has-Accounts";
 inline constexpr const char* origin = "Tillerhall-Origin"; ///< calling service
 inline constexpr const char* time_left_ms = "Tillerhall-Left-Ms";
 inline constexpr const char* objective_ms = "Tillerhall-Objective-Ms";
 inline constexpr const char* nested = "Tillerhall-Nested"; ///< if made by a run
-inline constexpr const char* elapsed_ms = "Tillerhall-Elapsed-Ms"; ///< if any
-inline constexpr const char* probe = "Tillerhall-Trial"; ///< if it is one
-/** Asks for the owner's load only; nothing runs. */
+inline constexpr const char* elapsed_ms = "Tillerhall-Elapsed-Ms"; ///< if not 0
+inline constexpr const char* probe = "Tillerhall-Trial"; ///< if it is a probe
+/** Marks a load query; nothing runs. */
 inline constexpr const char* query = "Tillerhall-Asks";
-/** In a question: bytes of a body that wants its turn on the owner's link. */
+/** In a load query: bytes of a body that needs a transfer slot. */
 inline constexpr const char* claim = "Tillerhall-Claim";
 // In an owner's answer:
-inline constexpr const char* end = "Tillerhall-End";         ///< a `call_end`
-inline constexpr const char* reached = "Tillerhall-Reached"; ///< the target
+inline constexpr const char* end = "Tillerhall-End"; ///< name of a `call_end`
+inline constexpr const char* reached = "Tillerhall-Reached"; ///< "1" or "0"
 inline constexpr const char* load = "Tillerhall-Load";
 inline constexpr const char* run_ms = "Tillerhall-Run-Ms";
 inline constexpr const char* slots = "Tillerhall-Slots";
-inline constexpr const char* incoming = "Tillerhall-Incoming";       ///< if any
-inline constexpr const char* link_backlog_ms = "Tillerhall-Link-Ms"; ///< if any
-inline constexpr const char* saturated = "Tillerhall-Pressed";       ///< if so
+inline constexpr const char* incoming = "Tillerhall-Incoming"; ///< if not 0
+inline constexpr const char* link_backlog_ms =
+    "Tillerhall-Link-Ms";                                      ///< if not 0
+inline constexpr const char* saturated = "Tillerhall-Pressed"; ///< if saturated
 inline constexpr const char* others_refuse = "Tillerhall-Alike";
 inline constexpr const char* target_crashed = "Tillerhall-Target-Ended";
 inline constexpr const char* reason = "Tillerhall-Reason";
--- a/src/proxy/owner_answer.cpp
+++ b/src/proxy/owner_answer.cpp
@@ -67,7 +67,7 @@
 whole_request load_query(const std::string& id_field)
 {
     whole_request query(http::verb::get, "/", 11);
-    query.set(http::field::host, load_query_id); // HTTP/1.1 wants one
+    query.set(http::field::host, load_query_id); // required by HTTP/1.1
     query.set(id_field, load_query_id);
     query.set(hop_field::query, "load");
     query.keep_alive(true);
@@ -96,7 +96,7 @@
                       const owner_call& call,
                       time_point now)
 {
-    // Some are only set at need, and a client may have sent its own.
+    // Optional fields are not always set; a client may have sent its own.
     for (const auto* name : call_fields)
         request.erase(name);
     request.set(hop_field::service, call.service);
