--- a/include/tillerhall/proxy/client_answers.hpp
+++ b/include/tillerhall/proxy/client_answers.hpp
@@ -1,4 +1,4 @@
-/** @file How the end of a call reads to its client. */
+/** @file Builds the responses of an entry to its clients. */
 #pragma once
 
 #include "tillerhall/proxy/owner_answer.hpp"
@@ -11,7 +11,7 @@
 
 struct request_fault;
 
-/** Makes the responses of an entry that are not a target's own. */
+/** Builds responses that do not come from a target. */
 class client_answers
 {
 public:
@@ -20,17 +20,17 @@
     {
     }
 
-    /** A request that was not understood. */
+    /** The request could not be parsed. */
     whole_response refused(const request_fault& fault) const;
 
-    /** No route leads where the call @p id wants to go. */
+    /** No route matches the call @p id. */
     whole_response not_found(const std::string& id) const;
 
-    /** The call @p id carries no key, or one that nobody holds. */
+    /** The call @p id carries no key, or one of no account. */
     whole_response unauthorized(const std::string& id) const;
 
-    /** The account of the call @p id has spent its quota. @param back when
-     * its next tokens are there */
+    /** The account of the call @p id has no quota left.
+     * @param retry_after time until it has */
     whole_response over_quota(const std::string& id,
                               duration retry_after) const;
 
@@ -38,8 +38,9 @@
     whole_response unavailable(const std::string& id, const char* why) const;
 
     /**
-     * What became of the call @p id. @param may_have_run in an earlier try, so
-     * that a refusal would promise too much
+     * The final response to the call @p id.
+     * @param may_have_run an earlier try has an unknown outcome, so the
+     * response must not say that the call did not run
      */
     whole_response response_to(const std::string& id,
                                bool may_have_run,
--- a/include/tillerhall/proxy/entry_log.hpp
+++ b/include/tillerhall/proxy/entry_log.hpp
@@ -1,4 +1,4 @@
-/** @file What an entry counts and logs of its calls. */
+/** @file Metrics and log lines of an entry. */
 #pragma once
 
 #include "tillerhall/core/address.hpp"
@@ -9,43 +9,43 @@
 namespace tillerhall
 {
 
-/** When a call came, and what it met. */
+/** When a call was received, and the delay before its work began. */
 struct call_start
 {
     time_point received{}; ///< see `received_request`
-    duration waited{};     ///< from then until its work began
-    duration busy_for{};   ///< of the worker, at that moment
+    duration waited{};     ///< from `received` until its work began
+    duration busy_for{};   ///< of the worker, when the work began
 };
 
-/** How far a call got. */
+/** The tries of a call. */
 struct call_progress
 {
     unsigned targets_reached = 0;
-    std::size_t owners_tried = 0;    ///< and left for another one
-    std::size_t targets_crashed = 0; ///< while it ran there
-    std::string fingerprint;         ///< its fingerprint, if its end is unknown
+    std::size_t owners_tried = 0;    ///< before the last one
+    std::size_t targets_crashed = 0; ///< while the call ran there
+    std::string fingerprint;         ///< set if the outcome is unknown
 };
 
-/** Tells how calls went, and when the processor is pressed. */
+/** Records the outcome of calls and the saturation of the processor. */
 class entry_log
 {
 public:
     entry_log(blackboard& board, const address& own, const worker& on);
 
-    /** The work of a call that came at @p received begins. */
+    /** Records that work on a call received at @p received begins. */
     call_start call_started(time_point received);
 
-    /** A call has ended; one line if it got no target's answer. */
+    /** Records the outcome; logs a line if no target answered. */
     void call_finished(const owner_call& call,
                        const call_start& begin,
                        const call_progress& progress,
                        const owner_answer& answer);
 
-    /** A call was refused here; no owner was asked. */
+    /** Counts a call that was refused without asking an owner. */
     void call_refused(const std::string& reason);
 
 private:
-    /** Writes a line when the processor gets pressed, and when that ends. */
+    /** Logs a change between a saturated and a free processor. */
     void log_saturation(duration busy_for);
 
     blackboard& m_board;
--- a/src/proxy/client_answers.cpp
+++ b/src/proxy/client_answers.cpp
@@ -14,9 +14,9 @@
 
 namespace http = boost::beast::http;
 
-// A node that starts or ends is passed over by new connections within this.
+// Within this, new connections avoid a node that starts or ends.
 constexpr milliseconds retry_elsewhere_after(200);
-// A client that comes back sooner meets the same queue.
+// A client that retries sooner meets the same queue.
 constexpr milliseconds min_retry_after(20);
 
 std::string seconds_text(duration span)
