--- a/tests/unit/call_fingerprint.cpp
+++ b/tests/unit/call_fingerprint.cpp
@@ -1,4 +1,4 @@
-/** @file The name that all tries of a call share. */
+/** @file Fingerprints that all tries of a call share. */
 #include "tillerhall/proxy/call_fingerprint.hpp"
 
 #include <boost/beast/http.hpp>
@@ -26,7 +26,7 @@
 
 } // namespace
 
-TEST_CASE("tries of a call share their name whatever concerns one try only")
+TEST_CASE("tries of one call share a fingerprint though hop fields differ")
 {
     auto first = request_of("/a?b=1", "x");
     auto second = first;
@@ -37,7 +37,7 @@
     CHECK(fingerprint_text(first) == fingerprint_text(second));
 }
 
-TEST_CASE("calls that differ in what a target reads have other names")
+TEST_CASE("calls that differ for a target have different fingerprints")
 {
     const auto call = request_of("/a?b=1", "x");
     CHECK(fingerprint_text(call) !=
@@ -53,7 +53,7 @@
     CHECK(fingerprint_text(call) != fingerprint_text(changed));
 }
 
-TEST_CASE("the head alone tells calls without a body")
+TEST_CASE("the fingerprint of a call without a body is that of its head")
 {
     const auto call = request_of("/a");
     CHECK(fingerprint_text(call) == head_fingerprint(call));
--- a/tests/unit/owner_answer.cpp
+++ b/tests/unit/owner_answer.cpp
@@ -30,8 +30,8 @@
 
 } // namespace
 
-TEST_CASE(
-    "an owner reads of a call what the entry wrote, and only that goes on")
+TEST_CASE("an owner parses a call as its entry wrote it, and removes the "
+          "fields between nodes")
 {
     const auto now = steady_clock::now();
     received_request request{{http::verb::post, "/x?q=1", 11}, now};
@@ -55,7 +55,7 @@
     CHECK(request.message.count(hop_field::nested) == 0);
 }
 
-TEST_CASE("a call whose fields are missing or malformed is no owner's call")
+TEST_CASE("a forwarded call with a missing or malformed field is rejected")
 {
     const auto now = steady_clock::now();
     for (const auto* spoiled :
@@ -76,7 +76,7 @@
     CHECK_FALSE(take_hop_fields(request, id_field));
 }
 
-TEST_CASE("an entry reads of an answer what the owner wrote")
+TEST_CASE("an entry parses an answer as its owner wrote it")
 {
     const auto call = sample_call(steady_clock::now());
     for (const auto end : {call_end::not_run, call_end::unknown,
@@ -114,7 +114,7 @@
     CHECK(read.response->count(hop_field::load) == 0);
 }
 
-TEST_CASE("a question for the load is a request that owners take")
+TEST_CASE("a load query is a valid request, and its answer carries the load")
 {
     const auto query = load_query(id_field);
     CHECK(framing_fault(query.base()).empty());
@@ -137,7 +137,7 @@
     CHECK(read.link_backlog == milliseconds(340));
 }
 
-TEST_CASE("the answer to HEAD keeps the length that its target told")
+TEST_CASE("the answer to HEAD keeps the target's Content-Length")
 {
     owner_answer given;
     given.end = call_end::answered;
@@ -149,7 +149,7 @@
     CHECK((*read.response)[http::field::content_length] == "1234");
 }
 
-TEST_CASE("what no owner said leaves open whether the call ran")
+TEST_CASE("an answer that is no owner's leaves the outcome unknown")
 {
     const auto read = from_hop_response(
         whole_response(http::status::service_unavailable, 11));
@@ -157,7 +157,7 @@
     CHECK(read.reached);
 }
 
-TEST_CASE("the maker of a call is told by its id while the run lives")
+TEST_CASE("the id of a nested call finds its run while that is active")
 {
     run_registry runs;
     const whole_request request;
@@ -171,7 +171,7 @@
         CHECK(runs.parent_of("a.1") == reads);
         CHECK(runs.parent_of("a.1.7") == reads);
         CHECK(runs.parent_of("ab.1") == bookings);
-        CHECK_FALSE(runs.parent_of("a")); // a run does not make itself
+        CHECK_FALSE(runs.parent_of("a")); // a run is not its own parent
         CHECK_FALSE(runs.parent_of("abc"));
     }
     CHECK_FALSE(runs.parent_of("a.1"));
--- a/tests/unit/run_statistics.cpp
+++ b/tests/unit/run_statistics.cpp
@@ -1,9 +1,7 @@
-/** @file Which runs an owner counts for the start of its target in use.
+/** @file The runs that an owner counts for the current start of its target.
  *
- * The story: a target was replaced by one of a newer release, and its owner
- * told the runs of the old start with the id of the new one until the first
- * call came. Three owners did so within 150 ms of an order, and a good release
- * was sent back for "3 of the last 4 runs" that another release had failed. */
+ * Guards against runs of an earlier start being counted for a target of a new
+ * release, which would roll back a good release. */
 #include "tillerhall/proxy/run_statistics.hpp"
 
 #include <boost/beast/http.hpp>
@@ -27,7 +25,7 @@
 
 } // namespace
 
-TEST_CASE("a start of a target is not told the runs of an earlier one")
+TEST_CASE("runs of an earlier start are not counted for the current one")
 {
     run_statistics stats;
     stats.run_started("old");
@@ -36,7 +34,7 @@
     stats.set_target("new");
     CHECK(stats.counts().empty());
     CHECK(stats.taken_count() == 0);
-    // A run that began at the earlier start and ends now.
+    // A run of the earlier start that ends now.
     stats.run_finished("old", work, answered(500), {});
     CHECK(stats.counts().empty());
     stats.run_started("new");
