--- a/tests/integration/owner_choice.cpp
+++ b/tests/integration/owner_choice.cpp
@@ -1,4 +1,4 @@
-/** @file Which owner a large body goes to. */
+/** @file Choice of an owner by load queries and transfer slots. */
 #include "tillerhall/proxy/owner_choice.hpp"
 #include "tillerhall/core/worker.hpp"
 #include "tillerhall/proxy/call_entry.hpp"
@@ -26,7 +26,7 @@
     return made;
 }
 
-/** An entry with a choice whose owners answer as the test says. */
+/** An owner choice whose load queries and slot claims the test answers. */
 struct fixture
 {
     explicit fixture(worker& on)
@@ -84,7 +84,7 @@
 
 } // namespace
 
-TEST_CASE("nobody is asked before a small body")
+TEST_CASE("no owner is queried for a small body in a small service")
 {
     with_worker(
         [](worker&, fixture& made)
@@ -95,7 +95,7 @@
         });
 }
 
-TEST_CASE("a large body stays in its domain while the links there are free")
+TEST_CASE("a large body stays in its failure domain while links there are free")
 {
     with_worker(
         [](worker&, fixture& made)
@@ -111,7 +111,7 @@
         });
 }
 
-TEST_CASE("a large body goes where less is on its way, also to another domain")
+TEST_CASE("a large body goes to the least busy link, also in another domain")
 {
     with_worker(
         [](worker&, fixture& made)
@@ -129,7 +129,7 @@
         });
 }
 
-TEST_CASE("owners that do not answer hold nobody up and get no large body")
+TEST_CASE("owners that do not answer delay no large body and receive none")
 {
     with_worker(
         [](worker& on, fixture& made)
@@ -147,13 +147,13 @@
                 made.choice.choose(made.owners, {}, large, work);
             REQUIRE(chosen.owner);
             CHECK(chosen.owner->rpc.port == 3);
-            while (late < 2) // they still use what the test owns
+            while (late < 2) // the fibers still use the test's variables
                 sleep_for(on.io(), milliseconds(10));
             sleep_for(on.io(), milliseconds(10));
         });
 }
 
-TEST_CASE("with all links full a large body is refused with the time to wait")
+TEST_CASE("with all links full a large body is refused with a retry time")
 {
     with_worker(
         [](worker&, fixture& made)
@@ -174,7 +174,7 @@
         });
 }
 
-TEST_CASE("an owner that was tried is not asked again")
+TEST_CASE("an owner that was tried is not chosen again")
 {
     with_worker(
         [](worker&, fixture& made)
@@ -191,7 +191,7 @@
 namespace
 {
 
-/** Makes the service large enough that an entry asks, see `load_inquiry`. */
+/** Makes the service large enough for load queries, see `load_inquiry`. */
 void enlarge(fixture& made)
 {
     for (std::uint16_t port = 10; port < 30; ++port)
@@ -209,7 +209,7 @@
 
 } // namespace
 
-TEST_CASE("in a large service a small call goes to one that told it has room")
+TEST_CASE("in a large service a small call goes to an owner with room")
 {
     with_worker(
         [](worker&, fixture& made)
@@ -237,11 +237,11 @@
                         : 0;
             }
             CHECK(made.queries > 0);
-            CHECK(to_full < 10); // three of three are full now and then
+            CHECK(to_full < 10); // at times all queried owners are full
         });
 }
 
-TEST_CASE("an owner whose target takes no work tells that it has no room")
+TEST_CASE("an owner whose target takes no calls reports a full load")
 {
     with_worker(
         [](worker&, fixture& made)
@@ -251,7 +251,7 @@
         });
 }
 
-TEST_CASE("a second try of a small call asks nobody")
+TEST_CASE("a retry of a small call sends no load queries")
 {
     with_worker(
         [](worker&, fixture& made)
@@ -269,7 +269,7 @@
         });
 }
 
-TEST_CASE("owners that do not answer hold up no small call, and are not asked "
+TEST_CASE("owners that do not answer delay no small call and are not queried "
           "again at once")
 {
     with_worker(
@@ -290,17 +290,17 @@
             for (int i = 0; i < 4; ++i)
             {
                 CHECK(made.choice.choose(made.owners, {}, 500, work).owner);
-                sleep_for(on.io(), milliseconds(160)); // they fell silent
+                sleep_for(on.io(), milliseconds(160)); // until queries time out
             }
             CHECK(steady_clock::now() - begin < milliseconds(4 * 200 + 400));
             CHECK(std::ranges::all_of(queries, [](const auto& each)
                                       { return each.second == 1; }));
-            while (open > 0) // they still use what the test owns
+            while (open > 0) // the fibers still use the test's variables
                 sleep_for(on.io(), milliseconds(10));
         });
 }
 
-TEST_CASE("a large body goes to the best owner whose link has a turn for it")
+TEST_CASE("a large body goes to the best owner that grants a transfer slot")
 {
     with_worker(
         [](worker&, fixture& made)
@@ -321,7 +321,7 @@
         });
 }
 
-TEST_CASE("a body waits a little for a turn, then it is told when one is free")
+TEST_CASE("a body waits briefly for a transfer slot, then gets a retry time")
 {
     with_worker(
         [](worker&, fixture& made)
@@ -334,7 +334,7 @@
             };
             CHECK(made.choice.choose(made.owners, {}, large, work).owner);
             CHECK(steady_clock::now() >= free_at);
-            // An eighth of a second is the most that this body waits.
+            // The longest wait is an eighth of the objective of one second.
             made.slot_wait = [](const address&)
             { return std::optional<duration>(milliseconds(400)); };
             const auto refused_from = steady_clock::now();
@@ -346,7 +346,7 @@
         });
 }
 
-TEST_CASE("no turn is claimed for a small body, nor at the entry's own target")
+TEST_CASE("no transfer slot is claimed for a small body or the local target")
 {
     with_worker(
         [](worker&, fixture& made)
