--- a/tests/integration/ending_calls.cpp
+++ b/tests/integration/ending_calls.cpp
@@ -1,16 +1,9 @@
 /**
- * @file Calls that end each target that runs them.
+ * @file Poison calls: each target that runs one crashes.
  *
- * What users saw: most lookups of one service were refused for 15 s, three
- * times a day. One lookup ended each target that ran it. Its entry took the
- * lost connection for the loss of one answer and sent it to the next target;
- * its client came back at other nodes, which knew nothing of it. So all six
- * targets ended within a second, and again as soon as they had started: 21
- * ended under one lookup, 11 of them later than three seconds after the third.
- *
- * The evidence: one try reached two targets 64 ms apart and both ended under
- * it; other tries of the same lookup reached the rest through other entries,
- * seconds later.
+ * Guards against retries that take the crash for a lost answer and carry the
+ * call to target after target, through other entries as well, until no target
+ * of the service is left; and again as soon as the targets have restarted.
  */
 #include "ending_system.hpp"
 
@@ -20,7 +13,7 @@
 namespace
 {
 
-/** @return how many sends came later than `time_to_know` after the third. */
+/** @return the runs later than `propagation_limit` after the third one. */
 long late_sends(const std::vector<time_point>& send_times)
 {
     if (send_times.size() < 3)
@@ -32,7 +25,7 @@
 
 } // namespace
 
-TEST_CASE("a call that ended three targets is not sent on and on")
+TEST_CASE("a call that crashed three targets is not sent to more")
 {
     on_worker(
         [](worker& on)
@@ -41,13 +34,13 @@
             system.send_concurrently(20);
             system.send_repeatedly(std::chrono::seconds(9));
             CHECK(late_sends(system.send_times()) <= max_late_sends);
-            // At most all targets at once, and one more round at the start.
+            // At most each target once at first, and once after its restart.
             CHECK(system.crash_count() <= 2 * target_count);
             CHECK(system.all_targets_serve());
         });
 }
 
-TEST_CASE("one client that comes back ends two targets, not one a try")
+TEST_CASE("a client's retries of a poison call crash at most two targets")
 {
     on_worker(
         [](worker& on)
@@ -59,7 +52,7 @@
         });
 }
 
-TEST_CASE("what ends targets is known after every node was killed")
+TEST_CASE("poison calls stay known after all nodes were killed")
 {
     on_worker(
         [](worker& on)
@@ -85,7 +78,7 @@
         });
 }
 
-TEST_CASE("the news reaches every node while the store is away")
+TEST_CASE("a poison call becomes known to all nodes without the store")
 {
     on_worker(
         [](worker& on)
@@ -98,7 +91,7 @@
         });
 }
 
-TEST_CASE("a call that many make is not held for what another one ended")
+TEST_CASE("a frequent call is not quarantined for crashes of a poison call")
 {
     on_worker(
         [](worker& on)
@@ -122,8 +115,8 @@
             system.send_repeatedly(std::chrono::seconds(3));
             *is_stopped = true;
             REQUIRE(system.wait_until([&] { return *ended == 6; }));
-            // Where all targets end at once it may be named twice; then one
-            // target tries it after five seconds and clears it.
+            // If all targets crash at once it may be blamed twice; then a probe
+            // after five seconds clears it.
             for (auto& each : system.hosts())
                 CHECK(system.wait_until(
                     [&] {
@@ -137,7 +130,7 @@
         });
 }
 
-TEST_CASE("a call whose connection was lost twice is not blamed for it")
+TEST_CASE("a call that lost its connection twice is not quarantined")
 {
     on_worker(
         [](worker& on)
--- a/tests/integration/ending_calls_soak.cpp
+++ b/tests/integration/ending_calls_soak.cpp
@@ -1,10 +1,8 @@
 /**
- * @file A call that ends its targets, while nodes and store are troubled.
+ * @file Poison calls while nodes and the store fail.
  *
- * The failure of ending_calls.cpp under what else happens in a mesh: news of
- * ends must be everywhere though nodes are killed, stopped and frozen and the
- * store is away. On the code that knew nothing of ends seeds 1, 2 and 3 showed
- * 10, 17 and 8 sends beyond the bound's time, three are allowed.
+ * Guards against crash records that fail to reach all nodes when nodes are
+ * killed, stopped or frozen and the store is unavailable.
  */
 #include "ending_system.hpp"
 
@@ -19,9 +17,9 @@
 {
 
 /**
- * A series of troubles that overlap, drawn from a seed: nodes are killed,
- * stopped in a planned way or frozen, and the store goes away, while the call
- * comes again at nodes that are drawn too.
+ * Sends a poison call to random nodes and injects overlapping faults drawn
+ * from a seed: nodes are killed, stopped in a planned way or frozen, and the
+ * store becomes unavailable.
  */
 class faulty_mesh
 {
@@ -49,8 +47,8 @@
             m_system.wait_until([&] { return open + m_active_faults == 0; }));
     }
 
-    /** @return the sends later than `time_to_know` after the third one, by
-     * hosts that nothing had happened to for as long. */
+    /** @return the runs later than `propagation_limit` after the third one, at
+     * hosts without a fault for as long. */
     long late_sends()
     {
         const auto all = m_system.send_times();
@@ -92,7 +90,7 @@
         --open;
     }
 
-    /** As targets do: again and again, so that a node that starts hears. */
+    /** Targets report repeatedly, so that a restarted node learns of them. */
     void send_target_reports(time_point until, int& open)
     {
         while (steady_clock::now() < until)
@@ -163,9 +161,9 @@
 
 } // namespace
 
-TEST_CASE("whatever is done to nodes and store, later sends keep their bound")
+TEST_CASE("late runs of a poison call stay bounded under node and store faults")
 {
-    // More by hand: TILLERHALL_SEEDS=50 and a first seed in TILLERHALL_SEED.
+    // Longer runs: TILLERHALL_SEEDS=50, first seed in TILLERHALL_SEED.
     const auto number = [](const char* name, std::uint64_t otherwise)
     {
         const char* given = std::getenv(name);
--- a/tests/support/ending_system.hpp
+++ b/tests/support/ending_system.hpp
@@ -1,4 +1,4 @@
-/** @file Targets that a call ends, and what a test counts of it. */
+/** @file Targets that crash under a poison call, for tests. */
 #pragma once
 
 #include "mesh_system.hpp"
@@ -9,17 +9,17 @@
 {
 
 inline constexpr const char* poison_path = "/fields/ends-its-target";
-// After three targets have ended a mesh may still need so long to know.
+// Time within which all nodes know of a poison call after the third crash.
 inline constexpr std::chrono::seconds propagation_limit(3);
 inline constexpr long max_late_sends = 3;
 inline constexpr std::chrono::seconds restart_delay(1);
 inline constexpr std::size_t target_count = 4;
-// Enough for every call of a test, so that only knowledge ends them.
+// Enough retries for every call, so that the retry budget stops none.
 inline constexpr const char* retry_settings =
     "retry:\n  ratio: 10\n  extra: 100\n";
 
-/** Four targets of one service that start again a second after they end; two
- * of another one whose hosts are entries as well. */
+/** Four targets of one service that restart a second after a crash, and two of
+ * another service; the hosts of all are entries. */
 struct crashing_system : mesh_system
 {
     explicit crashing_system(worker& on)
@@ -70,7 +70,7 @@
         return crashes;
     }
 
-    /** @return when each send of the ending call reached a target, in order. */
+    /** @return when each run of the poison call began, in order. */
     std::vector<time_point> send_times()
     {
         std::vector<time_point> begun;
@@ -82,7 +82,8 @@
         return begun;
     }
 
-    /** Calls of other paths at all entries in turn. @return served share. */
+    /** Sends calls of other paths to all entries in turn.
+     * @return the share that was served */
     double served_share(int calls, const std::string& name)
     {
         int served = 0;
@@ -95,7 +96,8 @@
         return static_cast<double>(served) / calls;
     }
 
-    /** Tries of the ending call at all entries at the same moment. */
+    /** Sends the poison call @p count times at once, spread over the entries.
+     */
     void send_concurrently(int count)
     {
         const auto done = std::make_shared<int>(0);
@@ -110,7 +112,7 @@
         REQUIRE(wait_until([&] { return *done == count; }));
     }
 
-    /** Tries one after the other, each at the next entry. */
+    /** Sends the poison call repeatedly, each time to the next entry. */
     void send_repeatedly(duration span)
     {
         const auto until = steady_clock::now() + span;
