--- a/include/tillerhall/control/directory_controller.hpp
+++ b/include/tillerhall/control/directory_controller.hpp
@@ -59,22 +59,22 @@
     bool load_rows();
     bool ask_peers();
     bool should_follow() const;
-    void take_own(const stored_row& row, const member& record);
+    void merge_own_row(const stored_row& row, const member& record);
     void follow_loop();
     void write_loop();
     bool write_once();
     /** Waits for the next try, or until someone cannot wait. */
-    void wait_to_write(duration span);
+    void wait_before_write(duration span);
     /** @return how long to wait after a write that failed as @p failed says. */
-    duration wait_after(const error& failed);
+    duration retry_wait(const error& failed);
     /**
      * Reads what has changed behind the first write of the own row: of any two
      * nodes that start at once the one that wrote later then knows the other,
      * and tells it.
      */
-    void read_again();
+    void reread_until_done();
     bool read_changes();
-    void take(const std::vector<stored_row>& rows);
+    void merge_rows(const std::vector<stored_row>& rows);
     void set_loaded(const char* from);
     row_name own_row() const;
 
--- a/src/control/directory_controller.cpp
+++ b/src/control/directory_controller.cpp
@@ -17,18 +17,18 @@
 // Nodes tell each other of changes, so a feed that went silent may be found
 // out late here.
 constexpr milliseconds feed_wait(8'000);
-constexpr milliseconds duty_check(1'000);
-// A peer's answer brings what rows do not hold (which targets take work); in a
-// calm mesh it is there within this. After a loss of all hosts' power it is
-// not: peers start as well, and a node that waits 0.3 s for them refuses calls
-// that its own target and others could run.
+constexpr milliseconds reader_check_interval(1'000);
+// A peer's answer brings what rows do not hold (which targets merge_rows work);
+// in a calm mesh it is there within this. After a loss of all hosts' power it
+// is not: peers start as well, and a node that waits 0.3 s for them refuses
+// calls that its own target and others could run.
 constexpr milliseconds join_wait(60);
 // Changes come in bursts (a start of all, a release): one read for many. The
 // nodes tell each other of a change at once; the rows are the net below that.
 constexpr milliseconds rest_after_change(2'000);
 
-/** @return whether @p row holds what must last of @p self. */
-bool holds(const member& row, const member& self)
+/** @return whether @p row is_covered_by what must last of @p self. */
+bool is_covered_by(const member& row, const member& self)
 {
     return row.rpc == self.rpc && row.peer == self.peer &&
            row.caller == self.caller && row.operators == self.operators &&
@@ -68,7 +68,7 @@
 
 bool directory_controller::own_record_stored() const
 {
-    return m_stored && holds(*m_stored, m_mesh.members.self());
+    return m_stored && is_covered_by(*m_stored, m_mesh.members.self());
 }
 
 void directory_controller::start(std::function<void()> loaded)
@@ -143,7 +143,7 @@
         }
         if (!first)
             first = page->revision;
-        take(page->rows);
+        merge_rows(page->rows);
         if (!page->more || page->rows.empty())
             break;
         from = page->rows.back().name.key + ' '; // the least key behind it
@@ -152,7 +152,7 @@
     return true;
 }
 
-void directory_controller::take(const std::vector<stored_row>& rows)
+void directory_controller::merge_rows(const std::vector<stored_row>& rows)
 {
     std::vector<member> records;
     const auto own = own_row();
@@ -170,14 +170,15 @@
             m_mesh.board.decisions.note("member_row_refused", each.name.key,
                                         read.reason().message());
         else if (each.name == own)
-            take_own(each, *read);
+            merge_own_row(each, *read);
         else
             records.push_back(*read);
     }
     m_membership.learn(records);
 }
 
-void directory_controller::take_own(const stored_row& row, const member& record)
+void directory_controller::merge_own_row(const stored_row& row,
+                                         const member& record)
 {
     if (row.revision < m_own_revision)
         return; // this boot has written since
@@ -198,7 +199,7 @@
     {
         if (!should_follow())
         {
-            sleep_for(m_mesh.on.io(), duty_check);
+            sleep_for(m_mesh.on.io(), reader_check_interval);
             continue;
         }
         const auto page = m_store.follow(m_config.table, m_revision, feed_wait);
@@ -206,7 +207,7 @@
         {
             m_waits.reset();
             m_revision = std::max(m_revision, page->revision);
-            take(page->rows);
+            merge_rows(page->rows);
             if (!page->rows.empty())
                 sleep_for(m_mesh.on.io(), rest_after_change);
             continue;
@@ -232,7 +233,7 @@
     own_record_changed();
 }
 
-void directory_controller::wait_to_write(duration span)
+void directory_controller::wait_before_write(duration span)
 {
     if (m_is_urgent)
         span = std::min<duration>(span, least_wait);
@@ -241,7 +242,7 @@
     m_write_wait.async_wait(await{woken});
 }
 
-duration directory_controller::wait_after(const error& failed)
+duration directory_controller::retry_wait(const error& failed)
 {
     return failed.code() == error_code::retry_later
                ? m_pace.refused(m_mesh.members.live_count(), m_mesh.random)
@@ -253,7 +254,7 @@
     // Who knows nobody is found by its row only; others have joined by now.
     const auto known = m_mesh.members.live_count();
     if (!m_has_written && !own_record_stored() && known > 1)
-        wait_to_write(m_pace.first(known, m_mesh.random));
+        wait_before_write(m_pace.first(known, m_mesh.random));
     m_has_written = true;
     while (!own_record_stored() && !write_once())
         ;
@@ -273,7 +274,7 @@
     {
         m_mesh.board.decisions.note("own_row_not_written", "store",
                                     outcome.reason().message());
-        wait_to_write(wait_after(outcome.reason()));
+        wait_before_write(retry_wait(outcome.reason()));
         return false;
     }
     m_pace.taken();
@@ -282,17 +283,17 @@
     if (!outcome->written)
     {
         // An earlier write was done late; the next one goes on top of it.
-        wait_to_write(m_write_waits.next(m_mesh.random));
+        wait_before_write(m_write_waits.next(m_mesh.random));
         return false;
     }
     m_write_waits.reset();
     m_stored = self;
     if (is_new)
-        m_mesh.on.spawn([this] { read_again(); });
+        m_mesh.on.spawn([this] { reread_until_done(); });
     return true;
 }
 
-void directory_controller::read_again()
+void directory_controller::reread_until_done()
 {
     backoff waits(least_wait, most_wait);
     while (!read_changes())
@@ -308,7 +309,7 @@
     if (page->more)
         return load_rows();
     m_revision = std::max(m_revision, page->revision);
-    take(page->rows);
+    merge_rows(page->rows);
     return true;
 }
 
