--- a/include/tillerhall/control/report_controller.hpp
+++ b/include/tillerhall/control/report_controller.hpp
@@ -9,8 +9,8 @@
 
 /**
  * Takes reports into the register, tells the other nodes and, for a leaving,
- * sees to it that it is kept where this node's next boot finds it before it
- * is acknowledged: in the store or, when that does not answer, by two peers.
+ * sees to it that it is stored_at where this node's next boot finds it before
+ * it is acknowledged: in the store or, when that does not answer, by two peers.
  * Runs on the first worker.
  */
 class report_controller
@@ -25,7 +25,7 @@
     /**
      * Takes one report.
      * @return whether it may be acknowledged; false asks the target to report
-     * again, as a leaving could not be kept anywhere.
+     * again, as a leaving could not be stored_at anywhere.
      */
     bool take(const target_report& report);
 
@@ -36,10 +36,10 @@
     void tell_news();
 
 private:
-    void take_marks();
+    void apply_departures();
     void announce();
-    bool keep_leaving();
-    void ask_peers_to_keep(const std::shared_ptr<unsigned>& kept);
+    bool persist_departure();
+    void replicate_to_peers(const std::shared_ptr<unsigned>& stored_at);
 
     mesh_state& m_mesh;
     membership_controller& m_membership;
--- a/src/control/report_controller.cpp
+++ b/src/control/report_controller.cpp
@@ -9,11 +9,11 @@
 
 // An acknowledgement must reach the target within a second; the store
 // normally answers in a hundredth of that.
-constexpr milliseconds keep_limit(800);
-constexpr milliseconds store_first(250);
-constexpr milliseconds keep_poll(4);
+constexpr milliseconds persist_limit(800);
+constexpr milliseconds store_only_for(250);
+constexpr milliseconds persist_poll(4);
 constexpr unsigned peers_needed = 2;
-constexpr std::size_t peers_asked_to_keep = 5;
+constexpr std::size_t peers_asked = 5;
 
 target_state state_of(const target_register& targets, bool is_up)
 {
@@ -37,7 +37,7 @@
 {
 }
 
-void report_controller::take_marks()
+void report_controller::apply_departures()
 {
     for (const auto& id : m_mesh.members.self().left_targets)
         m_targets.mark_left(id);
@@ -45,7 +45,7 @@
 
 void report_controller::marks_loaded()
 {
-    take_marks();
+    apply_departures();
     m_targets.set_marks_known();
     m_owner.target_changed();
     announce();
@@ -84,7 +84,7 @@
 
 bool report_controller::take(const target_report& report)
 {
-    take_marks(); // a peer may have told of an earlier boot's since
+    apply_departures(); // a peer may have told of an earlier boot's since
     const auto verdict = m_targets.take(report, steady_clock::now());
     if (verdict == report_verdict::stale)
     {
@@ -99,33 +99,34 @@
     if (report.state == report_state::ready)
         m_owner.target_changed();
     announce();
-    return report.state == report_state::ready || keep_leaving();
+    return report.state == report_state::ready || persist_departure();
 }
 
-bool report_controller::keep_leaving()
+bool report_controller::persist_departure()
 {
     m_directory.write_now();
     const auto begin = steady_clock::now();
-    const auto kept = std::make_shared<unsigned>(0);
+    const auto stored_at = std::make_shared<unsigned>(0);
     bool asked = false;
-    while (steady_clock::now() < begin + keep_limit)
+    while (steady_clock::now() < begin + persist_limit)
     {
-        if (m_directory.own_record_stored() || *kept >= peers_needed)
+        if (m_directory.own_record_stored() || *stored_at >= peers_needed)
             return true;
-        if (!asked && steady_clock::now() >= begin + store_first)
+        if (!asked && steady_clock::now() >= begin + store_only_for)
         {
-            ask_peers_to_keep(kept);
+            replicate_to_peers(stored_at);
             asked = true;
         }
-        sleep_for(m_mesh.on.io(), keep_poll);
+        sleep_for(m_mesh.on.io(), persist_poll);
     }
     m_mesh.board.decisions.note(
         "leaving_not_kept", m_mesh.members.self().rpc.text(),
-        "neither the store nor two peers answered", {{"peers", *kept}});
+        "neither the store nor two peers answered", {{"peers", *stored_at}});
     return false;
 }
 
-void report_controller::ask_peers_to_keep(const std::shared_ptr<unsigned>& kept)
+void report_controller::replicate_to_peers(
+    const std::shared_ptr<unsigned>& stored_at)
 {
     const auto own = m_mesh.members.self();
     auto peers = m_mesh.members.all();
@@ -135,10 +136,10 @@
     // Other domains first: what takes this host may take its neighbours.
     std::ranges::stable_partition(peers, [&](const member& each)
                                   { return each.place != own.place; });
-    peers.resize(std::min(peers.size(), peers_asked_to_keep));
+    peers.resize(std::min(peers.size(), peers_asked));
     for (const auto& each : peers)
-        m_mesh.on.spawn([this, kept, peer = each.rpc]
-                        { *kept += m_membership.tell(peer) ? 1 : 0; });
+        m_mesh.on.spawn([this, stored_at, peer = each.rpc]
+                        { *stored_at += m_membership.tell(peer) ? 1 : 0; });
 }
 
 } // namespace tillerhall
