--- a/src/control/quota_controller.cpp
+++ b/src/control/quota_controller.cpp
@@ -14,11 +14,11 @@
 
 namespace json = boost::json;
 
-constexpr milliseconds least_pause(250);
+constexpr milliseconds least_interval(250);
 // A ledger takes a word of each entry of its domain in so long, on a host of a
-// tenth of a core: at 60 entries the least pause, at 600 it is 2.5 s.
-constexpr milliseconds pause_an_entry(4);
-constexpr milliseconds tell_timeout(300);
+// tenth of a core: at 60 entries the least report_interval, at 600 it is 2.5 s.
+constexpr milliseconds interval_per_entry(4);
+constexpr milliseconds call_timeout(300);
 
 } // namespace
 
@@ -35,24 +35,24 @@
     server.add(method::quota_counts, traffic_kind::watch,
                [this](const json::object& p) { return on_counts(p); });
     server.add(method::quota_sums, traffic_kind::watch,
-               [this](const json::object& p) { return on_sums(p); });
+               [this](const json::object& p) { return on_totals(p); });
     server.add(method::quota_limits, traffic_kind::delta,
                [this](const json::object& p) { return on_limits(p); });
 }
 
 void quota_controller::start()
 {
-    m_mesh.on.spawn([this] { tell_loop(); });
+    m_mesh.on.spawn([this] { report_loop(); });
     m_mesh.on.spawn([this] { exchange_loop(); });
 }
 
-duration quota_controller::pause() const
+duration quota_controller::report_interval() const
 {
     const auto& own = m_mesh.members.self().place;
     const auto entries = std::ranges::count_if(
         m_mesh.members.ordered(), [&](const keyed_member& kept)
         { return kept.record->place == own && is_live(*kept.record); });
-    return std::max(least_pause, pause_an_entry * entries);
+    return std::max(least_interval, interval_per_entry * entries);
 }
 
 std::vector<address> quota_controller::ledgers() const
@@ -69,27 +69,27 @@
     return all;
 }
 
-void quota_controller::tell_loop()
+void quota_controller::report_loop()
 {
     while (true)
     {
-        sleep_for(m_mesh.on.io(), pause());
+        sleep_for(m_mesh.on.io(), report_interval());
         if (m_mesh.board.call_map.get()->accounts() == nullptr)
             continue;
-        if (const auto news = m_gate.take_due())
-            tell(*news);
+        if (const auto counts = m_gate.take_due())
+            report(*counts);
     }
 }
 
-void quota_controller::tell(const std::vector<quota_counts>& news)
+void quota_controller::report(const std::vector<quota_counts>& counts)
 {
     for (const auto& ledger : ledgers())
     {
         if (ledger == m_mesh.members.self().rpc)
-            return m_gate.told(count(news));
+            return m_gate.told(add_counts(counts));
         const auto answer = m_mesh.pool.call(
             {ledger, traffic_kind::watch, method::quota_counts,
-             json::object{{"c", to_json(news)}}, tell_timeout});
+             json::object{{"c", to_json(counts)}}, call_timeout});
         if (!answer)
             continue;
         try
@@ -101,11 +101,11 @@
             m_mesh.board.metrics.get("tillerhall_rpc_bad_message_total").add();
         }
     }
-    m_gate.restore(news);
+    m_gate.restore(counts);
     m_gate.unanswered(steady_clock::now());
 }
 
-void quota_controller::follow_accounts()
+void quota_controller::refresh_accounts()
 {
     const auto routes = m_mesh.board.call_map.get();
     if (routes->version() == m_version)
@@ -118,32 +118,32 @@
 }
 
 std::vector<quota_limit>
-quota_controller::count(const std::vector<quota_counts>& news)
+quota_controller::add_counts(const std::vector<quota_counts>& counts)
 {
-    follow_accounts();
+    refresh_accounts();
     const auto now = steady_clock::now();
-    m_ledger.add(news, now);
-    for (const auto& each : news)
+    m_ledger.add(counts, now);
+    for (const auto& each : counts)
     {
-        auto& sum = m_sums[each.account];
-        sum.account = each.account;
-        sum.asked += each.asked;
-        sum.admitted += each.admitted;
+        auto& total = m_unsent_totals[each.account];
+        total.account = each.account;
+        total.asked += each.asked;
+        total.admitted += each.admitted;
     }
-    warn_domain();
+    broadcast_limits();
     return m_ledger.limits(now);
 }
 
 json::object quota_controller::on_counts(const json::object& params)
 {
-    return {{"l", to_json(count(quota_counts_from_json(params.at("c"))))}};
+    return {{"l", to_json(add_counts(quota_counts_from_json(params.at("c"))))}};
 }
 
-json::object quota_controller::on_sums(const json::object& params)
+json::object quota_controller::on_totals(const json::object& params)
 {
-    follow_accounts();
+    refresh_accounts();
     m_ledger.add(quota_counts_from_json(params.at("c")), steady_clock::now());
-    warn_domain();
+    broadcast_limits();
     return {};
 }
 
@@ -151,8 +151,8 @@
 {
     while (true)
     {
-        sleep_for(m_mesh.on.io(), least_pause);
-        if (!m_sums.empty())
+        sleep_for(m_mesh.on.io(), least_interval);
+        if (!m_unsent_totals.empty())
             exchange();
     }
 }
@@ -160,17 +160,17 @@
 void quota_controller::exchange()
 {
     const auto now = steady_clock::now();
-    std::vector<quota_counts> sums;
-    for (auto& [name, each] : m_sums)
+    std::vector<quota_counts> totals;
+    for (auto& [name, each] : m_unsent_totals)
     {
         each.level = m_ledger.level(name, now);
         if (each.level)
-            sums.push_back(each);
+            totals.push_back(each);
     }
-    m_sums.clear();
-    if (sums.empty())
+    m_unsent_totals.clear();
+    if (totals.empty())
         return;
-    const auto params = json::object{{"c", to_json(sums)}};
+    const auto params = json::object{{"c", to_json(totals)}};
     for (const auto& ledger : ledgers())
         if (ledger != m_mesh.members.self().rpc)
             m_mesh.on.spawn(
@@ -178,15 +178,15 @@
                 {
                     m_mesh.pool.call({ledger, traffic_kind::watch,
                                       method::quota_sums, params,
-                                      tell_timeout});
+                                      call_timeout});
                 });
 }
 
-void quota_controller::warn_domain()
+void quota_controller::broadcast_limits()
 {
     const auto now = steady_clock::now();
     const auto limits = m_ledger.limits(now);
-    if (!m_news.take(limits, now))
+    if (!m_limit_changes.take(limits, now))
         return;
     m_gate.told(limits);
     send_limits(limits, domain_range(m_mesh.members.self()));
@@ -196,7 +196,7 @@
                                    const key_range& range)
 {
     send_to_range(m_mesh,
-                  {method::quota_limits, traffic_kind::delta, tell_timeout,
+                  {method::quota_limits, traffic_kind::delta, call_timeout,
                    [limits](const key_range& part)
                    {
                        json::object sent{{"l", to_json(limits)}};
