--- a/include/tillerhall/control/report_controller.hpp
+++ b/include/tillerhall/control/report_controller.hpp
@@ -9,7 +9,7 @@
 
 /**
  * Takes reports into the register, tells the other nodes and, for a leaving,
- * sees to it that it is stored_at where this node's next boot finds it before
+ * sees to it that it is copies where this node's next boot finds it before
  * it is acknowledged: in the store or, when that does not answer, by two peers.
  * Runs on the first worker.
  */
@@ -25,7 +25,7 @@
     /**
      * Takes one report.
      * @return whether it may be acknowledged; false asks the target to report
-     * again, as a leaving could not be stored_at anywhere.
+     * again, as a leaving could not be copies anywhere.
      */
     bool take(const target_report& report);
 
@@ -39,7 +39,7 @@
     void apply_departures();
     void announce();
     bool persist_departure();
-    void replicate_to_peers(const std::shared_ptr<unsigned>& stored_at);
+    void replicate_to_peers(const std::shared_ptr<unsigned>& copies);
 
     mesh_state& m_mesh;
     membership_controller& m_membership;
--- a/src/control/report_controller.cpp
+++ b/src/control/report_controller.cpp
@@ -106,27 +106,27 @@
 {
     m_directory.write_now();
     const auto begin = steady_clock::now();
-    const auto stored_at = std::make_shared<unsigned>(0);
+    const auto copies = std::make_shared<unsigned>(0);
     bool asked = false;
     while (steady_clock::now() < begin + persist_limit)
     {
-        if (m_directory.own_record_stored() || *stored_at >= peers_needed)
+        if (m_directory.own_record_stored() || *copies >= peers_needed)
             return true;
         if (!asked && steady_clock::now() >= begin + store_only_for)
         {
-            replicate_to_peers(stored_at);
+            replicate_to_peers(copies);
             asked = true;
         }
         sleep_for(m_mesh.on.io(), persist_poll);
     }
     m_mesh.board.decisions.note(
         "leaving_not_kept", m_mesh.members.self().rpc.text(),
-        "neither the store nor two peers answered", {{"peers", *stored_at}});
+        "neither the store nor two peers answered", {{"peers", *copies}});
     return false;
 }
 
 void report_controller::replicate_to_peers(
-    const std::shared_ptr<unsigned>& stored_at)
+    const std::shared_ptr<unsigned>& copies)
 {
     const auto own = m_mesh.members.self();
     auto peers = m_mesh.members.all();
@@ -138,8 +138,8 @@
                                   { return each.place != own.place; });
     peers.resize(std::min(peers.size(), peers_asked));
     for (const auto& each : peers)
-        m_mesh.on.spawn([this, stored_at, peer = each.rpc]
-                        { *stored_at += m_membership.tell(peer) ? 1 : 0; });
+        m_mesh.on.spawn([this, copies, peer = each.rpc]
+                        { *copies += m_membership.tell(peer) ? 1 : 0; });
 }
 
 } // namespace tillerhall
