--- a/include/tillerhall/control/rollout_api.hpp
+++ b/include/tillerhall/control/rollout_api.hpp
@@ -24,9 +24,9 @@
     std::optional<http_response> answer(const http_request& request);
 
 private:
-    http_response give(const http_request& request);
+    http_response post_order(const http_request& request);
     /** Orders the release back that a service had before. */
-    http_response take_back(const http_request& request);
+    http_response revert(const http_request& request);
     http_response order(const rollout_order& wanted);
 
     rollout_book& m_book;
--- a/include/tillerhall/control/rollout_book.hpp
+++ b/include/tillerhall/control/rollout_book.hpp
@@ -32,13 +32,13 @@
     void on_change(std::function<void()> action);
 
     /** Takes @p offered, and tells everyone if it is news. */
-    void learn(const rollout_record& offered, const char* from);
+    void merge_and_broadcast(const rollout_record& offered, const char* from);
 
     /** Takes what one node asked or answered; rumors do the rest. */
-    void hear(const std::vector<rollout_record>& offered);
+    void merge_records(const std::vector<rollout_record>& offered);
 
     /** @return the records that are worth a place in a heartbeat now. */
-    std::vector<rollout_record> lively() const;
+    std::vector<rollout_record> recent() const;
 
     const rollout_view::by_service& records() const { return m_records; }
 
@@ -50,25 +50,25 @@
 
 private:
     /** A release that all targets of a service have, and since when. */
-    struct lone_release
+    struct sole_release
     {
         std::string release;
         time_point since{};
     };
 
-    boost::json::object on_told(const boost::json::object& params);
-    bool take(const rollout_record& offered, const std::string& from);
-    void fill_settled();
-    void note_lone_releases();
+    boost::json::object on_rollouts(const boost::json::object& params);
+    bool merge_record(const rollout_record& offered, const std::string& from);
+    void fill_stable_release();
+    void note_sole_releases();
     void publish();
-    void tell_all(const std::vector<rollout_record>& records,
-                  const key_range& range);
+    void broadcast(const std::vector<rollout_record>& records,
+                   const key_range& range);
 
     mesh_state& m_mesh;
     rollout_view::by_service m_records;
-    std::map<std::string, time_point> m_changed; ///< by service
-    std::map<std::string, lone_release> m_lone;  ///< by service
-    rollout_view::releases m_settled;
+    std::map<std::string, time_point> m_changed;         ///< by service
+    std::map<std::string, sole_release> m_sole_releases; ///< by service
+    rollout_view::releases m_stable;
     std::vector<std::function<void()>> m_on_change;
 };
 
--- a/include/tillerhall/control/rollout_keeper.hpp
+++ b/include/tillerhall/control/rollout_keeper.hpp
@@ -34,13 +34,16 @@
     void rows_seen(const std::vector<stored_row>& rows);
 
     /** This node found the state of @p service 's roll-out: it writes it. */
-    void keep(const std::string& service) { m_decided_here.insert(service); }
+    void mark_decided_here(const std::string& service)
+    {
+        m_decided_here.insert(service);
+    }
 
     /**
      * Writes an order into the store, in place of the one that is there.
      * @return the revision of the order, or why it was not taken.
      */
-    result<std::uint64_t> give(const rollout_order& order);
+    result<std::uint64_t> store_order(const rollout_order& order);
 
     /**
      * Writes that @p record is completed. @return whether it is, by this or an
@@ -49,21 +52,21 @@
     bool complete(const rollout_record& record);
 
 private:
-    void keep_loop();
+    void sync_loop();
     /** Reads the state of an order that was seen here; who decided or reads for
      * others writes until the row says what the record says. */
-    void keep_one(const std::string& service);
+    void sync(const std::string& service);
     /** Every node sees the order when all start at once: after a loss of all,
      * with the store away again, 120 nodes that tried to write would make some
      * 400 calls a second. */
     bool may_write(const std::string& service) const;
-    bool read_verdict(const std::string& service);
-    void take_verdict(const rollout_record& known, const stored_verdict& read);
+    bool read_state(const std::string& service);
+    void apply_state(const rollout_record& known, const stored_verdict& read);
     bool write(const rollout_record& record, rollout_state state);
-    void order_seen(const rollout_order& order);
+    void apply_order(const rollout_order& order);
     /** Takes what the store said; who may write tells all nodes of it. When all
      * start at once, each would tell all others the same. */
-    void read_from_store(const rollout_record& read);
+    void merge_stored(const rollout_record& read);
 
     mesh_state& m_mesh;
     rollout_book& m_book;
--- a/src/control/rollout_api.cpp
+++ b/src/control/rollout_api.cpp
@@ -18,7 +18,7 @@
 constexpr double least_s = 5;
 constexpr double most_s = 7 * 86'400;
 
-result<rollout_order> order_in(const std::string& body)
+result<rollout_order> parse_order(const std::string& body)
 {
     const error bad(
         error_code::invalid_argument, "not an order: " + body,
@@ -70,19 +70,19 @@
         return respond(error(error_code::unauthorized,
                              "a change of roll-outs needs the token"));
     if (request.method == "POST")
-        return give(request);
+        return post_order(request);
     if (request.method == "DELETE")
-        return take_back(request);
+        return revert(request);
     return std::nullopt;
 }
 
-http_response rollout_api::give(const http_request& request)
+http_response rollout_api::post_order(const http_request& request)
 {
-    const auto wanted = order_in(request.body);
+    const auto wanted = parse_order(request.body);
     return wanted ? order(*wanted) : respond(wanted.reason());
 }
 
-http_response rollout_api::take_back(const http_request& request)
+http_response rollout_api::revert(const http_request& request)
 {
     const auto service = request.param("service");
     const auto* known = m_book.find(service);
@@ -99,7 +99,7 @@
 
 http_response rollout_api::order(const rollout_order& wanted)
 {
-    const auto given = m_keeper.give(wanted);
+    const auto given = m_keeper.store_order(wanted);
     if (!given)
         return respond(given.reason());
     return respond(200, json::object{{"service", wanted.service},
--- a/src/control/rollout_book.cpp
+++ b/src/control/rollout_book.cpp
@@ -13,18 +13,18 @@
 
 namespace json = boost::json;
 
-constexpr milliseconds tell_timeout(600);
+constexpr milliseconds broadcast_timeout(600);
 // Heartbeats reach all nodes of a large mesh within some ten rounds of 1 s.
-constexpr std::chrono::seconds told_after_change(30);
+constexpr std::chrono::seconds recent_after_change(30);
 // Targets report each second or two, so a node that has just started may know
 // those of one release only.
-constexpr std::chrono::seconds settles_after(4);
+constexpr std::chrono::seconds stable_after(4);
 
 const std::string from_peer = "peer";
 
 /** @return how many serving targets of each release a service has. */
 std::map<std::string, std::map<std::string, std::size_t>>
-releases_in(const member_list& members)
+count_releases(const member_list& members)
 {
     std::map<std::string, std::map<std::string, std::size_t>> counts;
     for (const auto& kept : members.ordered())
@@ -45,10 +45,10 @@
 void rollout_book::add_methods()
 {
     m_mesh.server.add(method::rollouts, traffic_kind::delta,
-                      [this](const json::object& p) { return on_told(p); });
-    m_mesh.rollouts_told = [this] { return lively(); };
+                      [this](const json::object& p) { return on_rollouts(p); });
+    m_mesh.rollouts_told = [this] { return recent(); };
     m_mesh.rollouts_heard = [this](const std::vector<rollout_record>& records)
-    { hear(records); };
+    { merge_records(records); };
 }
 
 void rollout_book::on_change(std::function<void()> action)
@@ -62,7 +62,8 @@
     return found == m_records.end() ? nullptr : &found->second;
 }
 
-bool rollout_book::take(const rollout_record& offered, const std::string& from)
+bool rollout_book::merge_record(const rollout_record& offered,
+                                const std::string& from)
 {
     const auto& service = offered.order.service;
     const auto [known, is_new] = m_records.try_emplace(service, offered);
@@ -91,56 +92,57 @@
     return true;
 }
 
-void rollout_book::learn(const rollout_record& offered, const char* from)
+void rollout_book::merge_and_broadcast(const rollout_record& offered,
+                                       const char* from)
 {
-    if (!take(offered, from))
+    if (!merge_record(offered, from))
         return;
-    fill_settled();
-    tell_all({m_records.at(offered.order.service)}, key_range{});
+    fill_stable_release();
+    broadcast({m_records.at(offered.order.service)}, key_range{});
     publish();
 }
 
-void rollout_book::hear(const std::vector<rollout_record>& offered)
+void rollout_book::merge_records(const std::vector<rollout_record>& offered)
 {
     bool changed = false;
     for (const auto& each : offered)
-        changed |= take(each, from_peer);
+        changed |= merge_record(each, from_peer);
     if (!changed)
         return;
-    fill_settled();
+    fill_stable_release();
     publish();
 }
 
-std::vector<rollout_record> rollout_book::lively() const
+std::vector<rollout_record> rollout_book::recent() const
 {
     std::vector<rollout_record> told;
     for (const auto& [service, record] : m_records)
         if (!is_ended(record.state) ||
-            steady_clock::now() < m_changed.at(service) + told_after_change)
+            steady_clock::now() < m_changed.at(service) + recent_after_change)
             told.push_back(record);
     return told;
 }
 
 void rollout_book::note_members()
 {
-    note_lone_releases();
-    fill_settled();
+    note_sole_releases();
+    fill_stable_release();
 }
 
-void rollout_book::note_lone_releases()
+void rollout_book::note_sole_releases()
 {
     bool changed = false;
     const auto now = steady_clock::now();
-    for (const auto& [service, counts] : releases_in(m_mesh.members))
+    for (const auto& [service, counts] : count_releases(m_mesh.members))
     {
         if (counts.size() != 1)
             continue;
         const auto& release = counts.begin()->first;
-        auto& lone = m_lone[service];
-        if (lone.release != release)
-            lone = {release, now};
-        auto& settled = m_settled[service];
-        if (settled == release || now < lone.since + settles_after)
+        auto& sole = m_sole_releases[service];
+        if (sole.release != release)
+            sole = {release, now};
+        auto& settled = m_stable[service];
+        if (settled == release || now < sole.since + stable_after)
             continue;
         settled = release;
         changed = true;
@@ -149,21 +151,21 @@
         publish();
 }
 
-void rollout_book::fill_settled()
+void rollout_book::fill_stable_release()
 {
     for (auto& [service, record] : m_records)
     {
         if (!record.settled.empty())
             continue;
-        const auto known = m_settled.find(service);
-        if (known != m_settled.end() && !known->second.empty() &&
+        const auto known = m_stable.find(service);
+        if (known != m_stable.end() && !known->second.empty() &&
             !is_closed(record, known->second))
         {
             record.settled = known->second;
             continue;
         }
         std::size_t most = 0;
-        const auto counts = releases_in(m_mesh.members);
+        const auto counts = count_releases(m_mesh.members);
         const auto of_service = counts.find(service);
         if (of_service == counts.end())
             continue;
@@ -180,30 +182,30 @@
 void rollout_book::publish()
 {
     m_mesh.board.rollouts.set(rollout_view_ptr(
-        new rollout_view(m_records, m_settled, m_mesh.config.exposure_share)));
+        new rollout_view(m_records, m_stable, m_mesh.config.exposure_share)));
     for (const auto& action : m_on_change)
         action();
 }
 
-void rollout_book::tell_all(const std::vector<rollout_record>& records,
-                            const key_range& range)
+void rollout_book::broadcast(const std::vector<rollout_record>& records,
+                             const key_range& range)
 {
     send_to_range(m_mesh,
-                  {method::rollouts, traffic_kind::delta, tell_timeout,
+                  {method::rollouts, traffic_kind::delta, broadcast_timeout,
                    [records](const key_range& part) {
                        return to_json(rollouts_message{records, part});
                    }},
                   range);
 }
 
-json::object rollout_book::on_told(const json::object& params)
+json::object rollout_book::on_rollouts(const json::object& params)
 {
     const auto message = rollouts_message_from_json(params);
     if (!is_meant_for(m_mesh.members.self(), message.range))
         return {{"e", name_of(error_code::invalid_argument)},
                 {"d", "not this node's range"}};
-    tell_all(message.records, message.range);
-    hear(message.records);
+    broadcast(message.records, message.range);
+    merge_records(message.records);
     return {};
 }
 
--- a/src/control/rollout_decider.cpp
+++ b/src/control/rollout_decider.cpp
@@ -136,7 +136,7 @@
         {{"target", report.target_id}, {"owner", report.owner.text()}});
     auto next = *record;
     next.suspects.push_back(report.target_id);
-    m_book.learn(next, "decided here");
+    m_book.merge_and_broadcast(next, "decided here");
     decide(*m_book.find(report.service));
 }
 
@@ -194,7 +194,7 @@
         auto next = record;
         next.stage =
             static_cast<rollout_stage>(static_cast<int>(record.stage) + 1);
-        m_book.learn(next, "decided here");
+        m_book.merge_and_broadcast(next, "decided here");
         return;
     }
     case rollout_move::complete:
@@ -237,8 +237,8 @@
     auto next = record;
     next.state = rollout_state::rolled_back;
     next.reason = std::move(reason);
-    m_keeper.keep(record.order.service);
-    m_book.learn(next, "decided here");
+    m_keeper.mark_decided_here(record.order.service);
+    m_book.merge_and_broadcast(next, "decided here");
 }
 
 bool rollout_decider::is_told() const
--- a/src/control/rollout_keeper.cpp
+++ b/src/control/rollout_keeper.cpp
@@ -10,7 +10,7 @@
 
 // The store answers in 4 ms; a try each 0.3 s is soon enough after an outage
 // and a small part of the calls that following the routes costs.
-constexpr milliseconds keep_pause(300);
+constexpr milliseconds sync_interval(300);
 
 rollout_record record_of(const rollout_order& order)
 {
@@ -37,7 +37,7 @@
 
 void rollout_keeper::start()
 {
-    m_mesh.on.spawn([this] { keep_loop(); });
+    m_mesh.on.spawn([this] { sync_loop(); });
 }
 
 void rollout_keeper::rows_seen(const std::vector<stored_row>& rows)
@@ -52,14 +52,14 @@
         if (!order)
             continue;
         if (*order)
-            order_seen(**order);
+            apply_order(**order);
         else if (m_refused.insert(row.name.key + row.value).second)
             m_mesh.board.decisions.note("rollout_refused", row.name.key,
                                         order->reason().message());
     }
 }
 
-void rollout_keeper::order_seen(const rollout_order& order)
+void rollout_keeper::apply_order(const rollout_order& order)
 {
     auto& seen = m_orders[order.service];
     if (order.revision <= seen)
@@ -67,22 +67,22 @@
     seen = order.revision;
     const auto* known = m_book.find(order.service);
     if (known == nullptr || known->order.revision < order.revision)
-        read_from_store(record_of(order));
-    m_mesh.on.spawn([this, service = order.service] { keep_one(service); });
+        merge_stored(record_of(order));
+    m_mesh.on.spawn([this, service = order.service] { sync(service); });
 }
 
-void rollout_keeper::keep_loop()
+void rollout_keeper::sync_loop()
 {
     while (true)
     {
-        sleep_for(m_mesh.on.io(), keep_pause);
+        sleep_for(m_mesh.on.io(), sync_interval);
         std::set<std::string> due;
         for (const auto& [service, record] : m_book.records())
             if (may_write(service) || (record.state == rollout_state::unread &&
                                        m_orders.contains(service)))
                 due.insert(service);
         for (const auto& service : due)
-            keep_one(service);
+            sync(service);
     }
 }
 
@@ -91,7 +91,7 @@
     return m_decided_here.contains(service) || m_reads_for_others();
 }
 
-void rollout_keeper::keep_one(const std::string& service)
+void rollout_keeper::sync(const std::string& service)
 {
     const auto* record = m_book.find(service);
     if (record == nullptr)
@@ -101,7 +101,7 @@
     const bool is_read =
         stored != m_stored.end() && (stored->second.revision > revision ||
                                      record->state != rollout_state::unread);
-    if (!is_read && !read_verdict(service))
+    if (!is_read && !read_state(service))
         return;
     record = m_book.find(service); // reading waited, so it may be another
     if (record == nullptr || record->order.revision != revision ||
@@ -110,14 +110,14 @@
     if (!may_write(service))
         return;
     const auto& last = m_stored.at(service);
-    const bool is_told = last.revision > revision &&
-                         last.release == record->order.release &&
-                         last.state >= record->state;
-    if (!is_told && record->state != rollout_state::completed)
+    const bool is_stored = last.revision > revision &&
+                           last.release == record->order.release &&
+                           last.state >= record->state;
+    if (!is_stored && record->state != rollout_state::completed)
         write(*record, record->state);
 }
 
-bool rollout_keeper::read_verdict(const std::string& service)
+bool rollout_keeper::read_state(const std::string& service)
 {
     const auto name = m_source.verdict_row(service);
     const auto page = m_store.read(name.table, name.part, name.key);
@@ -139,12 +139,12 @@
         read.revision = row->revision;
     }
     m_stored[service] = read;
-    take_verdict(*known, read);
+    apply_state(*known, read);
     return true;
 }
 
-void rollout_keeper::take_verdict(const rollout_record& known,
-                                  const stored_verdict& read)
+void rollout_keeper::apply_state(const rollout_record& known,
+                                 const stored_verdict& read)
 {
     auto next = known;
     // A state from before the order is of an earlier one.
@@ -163,15 +163,15 @@
     }
     if (is_of_order && is_ended(read.state))
         next.reason = "by the store";
-    read_from_store(next);
+    merge_stored(next);
 }
 
-void rollout_keeper::read_from_store(const rollout_record& read)
+void rollout_keeper::merge_stored(const rollout_record& read)
 {
     if (may_write(read.order.service))
-        m_book.learn(read, "store");
+        m_book.merge_and_broadcast(read, "store");
     else
-        m_book.hear({read});
+        m_book.merge_records({read});
 }
 
 bool rollout_keeper::write(const rollout_record& record, rollout_state state)
@@ -198,11 +198,11 @@
                                 {{"state", name_of(state)}});
     // It may have been done, by whomever: the row tells.
     if (outcome || outcome.reason().code() == error_code::outcome_unknown)
-        read_verdict(service);
+        read_state(service);
     return false;
 }
 
-result<std::uint64_t> rollout_keeper::give(const rollout_order& order)
+result<std::uint64_t> rollout_keeper::store_order(const rollout_order& order)
 {
     const auto name = m_source.order_row(order.service);
     const auto page = m_store.read(name.table, name.part, name.key);
@@ -220,14 +220,14 @@
                      "look at it, then order again");
     auto taken = order;
     taken.revision = outcome->revision;
-    order_seen(taken);
+    apply_order(taken);
     return taken.revision;
 }
 
 bool rollout_keeper::complete(const rollout_record& record)
 {
     const auto& service = record.order.service;
-    if (!m_stored.contains(service) && !read_verdict(service))
+    if (!m_stored.contains(service) && !read_state(service))
         return false;
     const auto* known = m_book.find(service);
     if (known == nullptr || known->order.revision != record.order.revision ||
@@ -238,7 +238,7 @@
         return false;
     next.state = rollout_state::completed;
     next.reason = "nothing runs at the release before it";
-    m_book.learn(next, "decided here");
+    m_book.merge_and_broadcast(next, "decided here");
     return true;
 }
 
