--- a/src/control/rollout_api.cpp
+++ b/src/control/rollout_api.cpp
@@ -65,7 +65,7 @@
     if (request.path != path)
         return std::nullopt;
     if (request.method == "GET")
-        return respond(200, json::object{{"rollouts", m_decider.account()}});
+        return respond(200, json::object{{"rollouts", m_decider.describe()}});
     if (!brings_token(request, m_token))
         return respond(error(error_code::unauthorized,
                              "a change of roll-outs needs the token"));
--- a/src/control/rollout_decider.cpp
+++ b/src/control/rollout_decider.cpp
@@ -13,13 +13,15 @@
 
 namespace json = boost::json;
 
-// Verdicts come with the reports; this is for the steps, of a second or more.
-constexpr milliseconds decide_pause(200);
-// Owners report twice a second: who has heard of none does not decide.
-constexpr milliseconds reports_hold(2'000);
-constexpr milliseconds account_timeout(1'000);
+// Verdicts come with the reports; this is for the steps, current a second or
+// more.
+constexpr milliseconds decide_interval(200);
+// Owners report twice a second: who has last_report current none does not
+// decide.
+constexpr milliseconds report_staleness_limit(2'000);
+constexpr milliseconds describe_timeout(1'000);
 
-/** Adds what ran at @p release, a line a class of work. */
+/** Adds what ran at @p release, a line a class current work. */
 void add_evidence(json::array& to,
                   const std::string& release,
                   const counts_by_class& counts)
@@ -35,11 +37,12 @@
 
 } // namespace
 
-rollout_decider::trial::trial(const rollout_record& of, time_point now)
-    : revision(of.order.revision)
-    , stage(of.stage)
+rollout_decider::evaluation::evaluation(const rollout_record& current,
+                                        time_point now)
+    : revision(current.order.revision)
+    , stage(current.stage)
     , stage_begun(now)
-    , judge(of.settled, of.order.release)
+    , judge(current.settled, current.order.release)
 {
 }
 
@@ -64,7 +67,7 @@
                       });
     m_mesh.server.add(method::rollout_account, traffic_kind::watch,
                       [this](const json::object&) -> json::object {
-                          return {{"r", own_account()}};
+                          return {{"r", describe_own()}};
                       });
 }
 
@@ -73,29 +76,30 @@
     m_mesh.on.spawn([this] { decide_loop(); });
 }
 
-rollout_decider::trial& rollout_decider::trial_of(const rollout_record& record)
+rollout_decider::evaluation&
+rollout_decider::evaluation_of(const rollout_record& record)
 {
     const auto now = steady_clock::now();
     const auto& service = record.order.service;
-    auto found = m_trials.find(service);
-    if (found != m_trials.end() &&
+    auto found = m_evaluations.find(service);
+    if (found != m_evaluations.end() &&
         found->second.revision != record.order.revision)
     {
-        m_trials.erase(found);
-        found = m_trials.end();
+        m_evaluations.erase(found);
+        found = m_evaluations.end();
     }
-    if (found == m_trials.end())
-        found = m_trials.emplace(service, trial(record, now)).first;
-    auto& of = found->second;
-    if (of.stage != record.stage)
+    if (found == m_evaluations.end())
+        found = m_evaluations.emplace(service, evaluation(record, now)).first;
+    auto& current = found->second;
+    if (current.stage != record.stage)
     {
-        of.stage = record.stage;
-        of.stage_begun = now;
-        of.judge.begin_stage();
+        current.stage = record.stage;
+        current.stage_begun = now;
+        current.judge.begin_stage();
     }
     for (const auto& each : record.suspects)
-        of.judge.suspect(each);
-    return of;
+        current.judge.suspect(each);
+    return current;
 }
 
 std::vector<address>
@@ -111,12 +115,12 @@
     return owners;
 }
 
-std::string rollout_decider::why_bad(const trial& of) const
+std::string rollout_decider::rollback_reason(const evaluation& current) const
 {
-    std::string why = std::to_string(of.judge.suspects().size()) +
+    std::string why = std::to_string(current.judge.suspects().size()) +
                       " of its targets do worse than those before";
-    for (const auto& each : of.judge.suspects())
-        if (const auto reason = of.judge.reason_of(each); !reason.empty())
+    for (const auto& each : current.judge.suspects())
+        if (const auto reason = current.judge.reason_of(each); !reason.empty())
             return why + "; " + each + ": " + reason;
     return why;
 }
@@ -127,12 +131,13 @@
     if (record == nullptr || record->state != rollout_state::running ||
         record->settled.empty())
         return;
-    auto& of = trial_of(*record);
-    of.heard = steady_clock::now();
-    if (!of.judge.take(report, of.heard))
+    auto& current = evaluation_of(*record);
+    current.last_report = steady_clock::now();
+    if (!current.judge.take(report, current.last_report))
         return;
     m_mesh.board.decisions.note(
-        "rollout_suspect", report.service, of.judge.reason_of(report.target_id),
+        "rollout_suspect", report.service,
+        current.judge.reason_of(report.target_id),
         {{"target", report.target_id}, {"owner", report.owner.text()}});
     auto next = *record;
     next.suspects.push_back(report.target_id);
@@ -144,7 +149,7 @@
 {
     while (true)
     {
-        sleep_for(m_mesh.on.io(), decide_pause);
+        sleep_for(m_mesh.on.io(), decide_interval);
         const auto records = m_book.records(); // deciding changes them
         for (const auto& [service, record] : records)
             if (record.state == rollout_state::running)
@@ -156,18 +161,18 @@
 {
     if (record.state != rollout_state::running)
         return;
-    auto& of = trial_of(record);
+    auto& current = evaluation_of(record);
     const auto now = steady_clock::now();
-    if (!m_is_reader() && now > of.heard + reports_hold)
+    if (!m_is_reader() && now > current.last_report + report_staleness_limit)
         return;
     const auto wanted =
         owners_of(record.order.service, record.order.release).size();
-    if (of.judge.is_bad(wanted, now))
-        return roll_back(record, why_bad(of));
-    move_on(record, of);
+    if (current.judge.is_bad(wanted, now))
+        return roll_back(record, rollback_reason(current));
+    advance(record, current);
 }
 
-void rollout_decider::move_on(const rollout_record& record, trial& of)
+void rollout_decider::advance(const rollout_record& record, evaluation& current)
 {
     const auto now = steady_clock::now();
     const auto& service = record.order.service;
@@ -178,10 +183,10 @@
         m_keeper.complete(record); // it is there already
         return;
     }
-    const rollout_progress progress{.stage_begun = of.stage_begun,
-                                    .seen = of.judge.evidence(),
+    const rollout_progress progress{.stage_begun = current.stage_begun,
+                                    .seen = current.judge.evidence(),
                                     .settled_is_idle =
-                                        of.judge.is_idle(settled, now),
+                                        current.judge.is_idle(settled, now),
                                     .settled_targets = settled.size(),
                                     .wanted_targets = wanted.size()};
     switch (next_move(record, progress, now))
@@ -190,7 +195,7 @@
         return;
     case rollout_move::next_stage:
     {
-        note_step(record, of.judge);
+        log_stage_end(record, current.judge);
         auto next = record;
         next.stage =
             static_cast<rollout_stage>(static_cast<int>(record.stage) + 1);
@@ -207,8 +212,8 @@
     }
 }
 
-void rollout_decider::note_step(const rollout_record& record,
-                                const rollout_judge& judge)
+void rollout_decider::log_stage_end(const rollout_record& record,
+                                    const rollout_judge& judge)
 {
     json::array classes;
     for (const auto& each : judge.compared())
@@ -241,56 +246,58 @@
     m_book.merge_and_broadcast(next, "decided here");
 }
 
-bool rollout_decider::is_told() const
+bool rollout_decider::has_recent_reports() const
 {
     return std::ranges::all_of(
         m_book.records(),
         [this](const auto& each)
         {
             const auto& [service, record] = each;
-            const auto found = m_trials.find(service);
+            const auto found = m_evaluations.find(service);
             return record.state != rollout_state::running ||
-                   (found != m_trials.end() &&
-                    steady_clock::now() < found->second.heard + reports_hold);
+                   (found != m_evaluations.end() &&
+                    steady_clock::now() <
+                        found->second.last_report + report_staleness_limit);
         });
 }
 
-json::array rollout_decider::account()
+json::array rollout_decider::describe()
 {
-    if (is_told())
-        return own_account();
+    if (has_recent_reports())
+        return describe_own();
     for (const auto& reader : best_readers(m_mesh.members))
     {
         if (reader == m_mesh.members.self().rpc)
             continue;
-        const auto answer = m_mesh.pool.call({reader, traffic_kind::watch,
-                                              method::rollout_account,
-                                              json::object(), account_timeout});
-        const auto* told = answer ? answer->if_contains("r") : nullptr;
-        if (told != nullptr && told->is_array())
-            return told->as_array();
+        const auto answer = m_mesh.pool.call(
+            {reader, traffic_kind::watch, method::rollout_account,
+             json::object(), describe_timeout});
+        const auto* described = answer ? answer->if_contains("r") : nullptr;
+        if (described != nullptr && described->is_array())
+            return described->as_array();
     }
-    return own_account();
+    return describe_own();
 }
 
-json::array rollout_decider::own_account() const
+json::array rollout_decider::describe_own() const
 {
     json::array list;
     for (const auto& [service, record] : m_book.records())
     {
-        json::object told{{"service", service},
-                          {"release", record.order.release},
-                          {"before", record.settled},
-                          {"state", name_of(record.state)},
-                          {"stage", name_of(record.stage)},
-                          {"reason", record.reason},
-                          {"age_ms", to_ms(steady_clock::now() - record.begun)},
-                          {"time_ms", record.order.time.count()},
-                          {"suspects", json::value_from(record.suspects)},
-                          {"closed", json::value_from(record.closed)}};
-        const auto found = m_trials.find(service);
+        json::object described{
+            {"service", service},
+            {"release", record.order.release},
+            {"before", record.settled},
+            {"state", name_of(record.state)},
+            {"stage", name_of(record.stage)},
+            {"reason", record.reason},
+            {"age_ms", to_ms(steady_clock::now() - record.begun)},
+            {"time_ms", record.order.time.count()},
+            {"suspects", json::value_from(record.suspects)},
+            {"closed", json::value_from(record.closed)}};
+        const auto found = m_evaluations.find(service);
         json::array evidence;
-        if (found != m_trials.end() &&
+        if (found != m_evaluations.end() &&
             found->second.revision == record.order.revision)
         {
             const auto& judge = found->second.judge;
@@ -298,8 +305,8 @@
             add_evidence(evidence, record.settled, before.counts());
             add_evidence(evidence, record.order.release, judge.stage_counts());
         }
-        told["evidence"] = std::move(evidence);
-        list.push_back(std::move(told));
+        described["evidence"] = std::move(evidence);
+        list.push_back(std::move(described));
     }
     return list;
 }
