--- a/include/tillerhall/control/rollout_reporter.hpp
+++ b/include/tillerhall/control/rollout_reporter.hpp
@@ -35,9 +35,9 @@
     const target_register& m_targets;
     const target_owner& m_owner;
     const std::uint64_t m_boot = wall_clock_ms();
-    std::uint64_t m_taken_told = 0;
-    std::string m_target_told;
-    unsigned m_turn = 0;
+    std::uint64_t m_reported_taken = 0;
+    std::string m_reported_target;
+    unsigned m_tick = 0;
 };
 
 } // namespace tillerhall
--- a/src/control/rollout_reporter.cpp
+++ b/src/control/rollout_reporter.cpp
@@ -13,12 +13,12 @@
 {
 
 // At 100 runs a second of which a third fail this is some five bad answers
-// before they are known; a report is about a fifth of a call's work.
-constexpr milliseconds report_pause(150);
+// preceding they are known; a report is about a fifth of a call's work.
+constexpr milliseconds report_interval(150);
 // Once many new targets report, and when all wait for the last runs of the old
 // release, every second time; what that does is compared over seconds.
-constexpr unsigned later_turns = 2;
-constexpr unsigned settled_turns = 4;
+constexpr unsigned ticks_many_canaries = 2;
+constexpr unsigned ticks_stable = 4;
 constexpr milliseconds report_timeout(400);
 // So many owners tell enough of a release that has many targets. At 2,700
 // hosts all of them would be too many reports for those who decide.
@@ -27,17 +27,19 @@
 /** @return whether this node's target is among the first of its release. */
 bool is_sampled(const member_list& members, const member& self)
 {
-    const auto place = [](const member& of)
+    const auto sample_key = [](const member& of)
     { return stable_hash(of.target_id); };
-    const auto before = std::ranges::count_if(
-        members.ordered(),
-        [&](const keyed_member& kept)
-        {
-            const auto& each = *kept.record;
-            return takes_calls(each) && each.service == self.service &&
-                   each.release == self.release && place(each) < place(self);
-        });
-    return static_cast<std::size_t>(before) < most_reporting;
+    const auto preceding =
+        std::ranges::count_if(members.ordered(),
+                              [&](const keyed_member& kept)
+                              {
+                                  const auto& each = *kept.record;
+                                  return takes_calls(each) &&
+                                         each.service == self.service &&
+                                         each.release == self.release &&
+                                         sample_key(each) < sample_key(self);
+                              });
+    return static_cast<std::size_t>(preceding) < most_reporting;
 }
 
 } // namespace
@@ -64,13 +66,13 @@
 {
     while (true)
     {
-        sleep_for(m_mesh.on.io(), report_pause);
+        sleep_for(m_mesh.on.io(), report_interval);
         const auto* record = m_book.find(m_mesh.members.self().service);
         const auto* target = m_targets.in_use();
         if (record == nullptr || target == nullptr ||
             record->state != rollout_state::running)
             continue;
-        ++m_turn;
+        ++m_tick;
         if (is_due(*record, *target))
             send(report_of(*target));
     }
@@ -79,17 +81,17 @@
 bool rollout_reporter::is_due(const rollout_record& record,
                               const target_report& target)
 {
-    const bool is_last = record.stage == rollout_stage::all;
-    const bool is_first = record.stage <= rollout_stage::loaded;
+    const bool is_last_stage = record.stage == rollout_stage::all;
+    const bool is_early_stage = record.stage <= rollout_stage::loaded;
     if (target.release == record.order.release)
-        return (is_first || m_turn % later_turns == 0) &&
-               (m_target_told != target.start() ||
-                m_taken_told != m_owner.evidence().taken_count());
+        return (is_early_stage || m_tick % ticks_many_canaries == 0) &&
+               (m_reported_target != target.start() ||
+                m_reported_taken != m_owner.evidence().taken_count());
     if (target.release != record.settled)
         return false;
-    if (is_last)
-        return m_turn % later_turns == 0;
-    return m_turn % settled_turns == 0 &&
+    if (is_last_stage)
+        return m_tick % ticks_many_canaries == 0;
+    return m_tick % ticks_stable == 0 &&
            is_sampled(m_mesh.members, m_mesh.members.self());
 }
 
@@ -109,8 +111,8 @@
 
 void rollout_reporter::send(const owner_report& report)
 {
-    m_target_told = report.target_id;
-    m_taken_told = report.taken;
+    m_reported_target = report.target_id;
+    m_reported_taken = report.taken;
     const auto params = to_json(report);
     for (const auto& reader : best_readers(m_mesh.members))
         if (reader == report.owner)
