--- a/include/tillerhall/control/route_controller.hpp
+++ b/include/tillerhall/control/route_controller.hpp
@@ -3,7 +3,7 @@
 
 #include "tillerhall/control/routes_word.hpp"
 #include "tillerhall/core/backoff.hpp"
-#include "tillerhall/distribution/store_duty.hpp"
+#include "tillerhall/distribution/store_role.hpp"
 #include "tillerhall/node/mesh_state.hpp"
 #include "tillerhall/store/row_store.hpp"
 
@@ -25,7 +25,7 @@
  * all, and only if its number is higher than that in force, whoever brings
  * it.
  *
- * A few readers a failure domain ask the store (see `duty_choice`). After
+ * A few readers a failure domain ask the store (see `store_role_choice`). After
  * each of its answers a reader sends a word through the tree over its
  * domain's members, with the routes if they are new. A node that hears of a
  * higher version, by word or by heartbeat, and does not get it asks the one
@@ -101,9 +101,9 @@
     std::function<void(const std::set<std::string>&, std::uint64_t)>
         m_on_drained;
     backoff m_waits;
-    duty_choice m_duty;
+    store_role_choice m_duty;
     time_point m_begun{};
-    store_duty m_last_duty = store_duty::follow;
+    store_duty m_last_duty = store_duty::poll;
     std::string m_packed;         ///< routes in force, for peers
     std::uint64_t m_revision = 0; ///< of the store, up to which it was read
     std::uint64_t m_taken_revision = 0; ///< of the row that was taken last
--- a/src/control/route_controller.cpp
+++ b/src/control/route_controller.cpp
@@ -21,7 +21,7 @@
 // as in touch with the store again.
 constexpr milliseconds own_feed_wait(2'000);
 // After each answer a reader speaks, so this is how often its domain hears of
-// the store; see `duty_choice::lapse`.
+// the store; see `store_role_choice::staleness_limit`.
 constexpr milliseconds reader_feed_wait(600);
 // The row holds the newest version only: in a storm of changes each is
 // outdated by the next, so who follows rests before it reads again. This
@@ -115,7 +115,7 @@
 {
     const auto now = steady_clock::now();
     const auto rank = now < m_begun + meets_others
-                          ? duty_choice::candidates
+                          ? store_role_choice::candidates
                           : reader_rank(m_mesh.members);
     return m_duty.at(rank, now);
 }
@@ -127,14 +127,14 @@
     {
         const auto now = duty();
         note_duty(now);
-        const bool relies = now == store_duty::rely && known();
+        const bool relies = now == store_duty::listen && known();
         next = relies ? rely() : ask_store(next);
     }
 }
 
 route_controller::step route_controller::rely()
 {
-    const auto left = m_duty.relies_until() - steady_clock::now();
+    const auto left = m_duty.listens_until() - steady_clock::now();
     sleep_for(m_mesh.on.io(), std::max<duration>(left, least_rest));
     return step::follow;
 }
@@ -165,7 +165,7 @@
     m_answered = std::min(steady_clock::now(), latest);
     // All start at once: who asked on until the first word would ask for each.
     if (!m_has_heard)
-        m_duty.read(m_answered);
+        m_duty.store_answered(m_answered);
     m_revision = std::max(m_revision, revision);
 }
 
@@ -356,9 +356,10 @@
     m_has_heard = true;
     // What the reader has read of the store this node has, too.
     m_revision = std::max(m_revision, word.revision);
-    m_duty.heard(word.rank, reader_rank(m_mesh.members),
-                 milliseconds(std::max<std::int64_t>(0, word.store_age_ms)),
-                 steady_clock::now());
+    m_duty.update_received(
+        word.rank, reader_rank(m_mesh.members),
+        milliseconds(std::max<std::int64_t>(0, word.store_age_ms)),
+        steady_clock::now());
     return {};
 }
 
--- a/tests/unit/store_duty.cpp
+++ b/tests/unit/store_role.cpp
@@ -1,5 +1,5 @@
 /** @file Who asks the store, and what readers tell the others. */
-#include "tillerhall/distribution/store_duty.hpp"
+#include "tillerhall/distribution/store_role.hpp"
 #include "tillerhall/control/routes_word.hpp"
 #include "tillerhall/core/base64.hpp"
 #include "tillerhall/core/packing.hpp"
@@ -22,10 +22,11 @@
 
 TEST_CASE("without a word every node asks the store, the candidates for all")
 {
-    const duty_choice alone;
+    const store_role_choice alone;
     CHECK(alone.at(0, start) == store_duty::speak);
-    CHECK(alone.at(duty_choice::candidates - 1, start) == store_duty::speak);
-    CHECK(alone.at(duty_choice::candidates, start) == store_duty::follow);
+    CHECK(alone.at(store_role_choice::candidates - 1, start) ==
+          store_duty::speak);
+    CHECK(alone.at(store_role_choice::candidates, start) == store_duty::poll);
 }
 
 TEST_CASE("a node relies on a fresh word and no longer than the lapse")
@@ -36,39 +37,43 @@
                  const milliseconds age(*rc::gen::inRange(0, 3'000));
                  const auto rank =
                      static_cast<std::size_t>(*rc::gen::inRange(1, 10));
-                 duty_choice duty;
-                 duty.heard(0, rank, age, start);
-                 const bool fresh = age < duty_choice::lapse;
-                 RC_ASSERT((duty.at(rank, start) == store_duty::rely) == fresh);
-                 const auto lapsed = start - age + duty_choice::lapse;
-                 RC_ASSERT(duty.at(rank, lapsed) != store_duty::rely);
+                 store_role_choice duty;
+                 duty.update_received(0, rank, age, start);
+                 const bool fresh = age < store_role_choice::staleness_limit;
+                 RC_ASSERT((duty.at(rank, start) == store_duty::listen) ==
+                           fresh);
+                 const auto stale_from =
+                     start - age + store_role_choice::staleness_limit;
+                 RC_ASSERT(duty.at(rank, stale_from) != store_duty::listen);
              });
 }
 
 TEST_CASE("an older word does not shorten what a newer one gave")
 {
-    duty_choice duty;
-    duty.heard(0, many, milliseconds(0), start);
-    duty.heard(1, many, milliseconds(1'300), start + milliseconds(50));
-    CHECK(duty.relies_until() == start + duty_choice::lapse);
+    store_role_choice duty;
+    duty.update_received(0, many, milliseconds(0), start);
+    duty.update_received(1, many, milliseconds(1'300),
+                         start + milliseconds(50));
+    CHECK(duty.listens_until() == start + store_role_choice::staleness_limit);
 }
 
 TEST_CASE("of two that speak the worse one falls silent, never both")
 {
-    rc::prop("for any two candidates",
-             []
-             {
-                 const auto better =
-                     static_cast<std::size_t>(*rc::gen::inRange(0, 2));
-                 const auto worse = static_cast<std::size_t>(
-                     *rc::gen::inRange(static_cast<int>(better) + 1, 3));
-                 duty_choice at_better;
-                 duty_choice at_worse;
-                 at_better.heard(worse, better, milliseconds(0), start);
-                 at_worse.heard(better, worse, milliseconds(0), start);
-                 RC_ASSERT(at_better.at(better, start) == store_duty::speak);
-                 RC_ASSERT(at_worse.at(worse, start) == store_duty::rely);
-             });
+    rc::prop(
+        "for any two candidates",
+        []
+        {
+            const auto better =
+                static_cast<std::size_t>(*rc::gen::inRange(0, 2));
+            const auto worse = static_cast<std::size_t>(
+                *rc::gen::inRange(static_cast<int>(better) + 1, 3));
+            store_role_choice at_better;
+            store_role_choice at_worse;
+            at_better.update_received(worse, better, milliseconds(0), start);
+            at_worse.update_received(better, worse, milliseconds(0), start);
+            RC_ASSERT(at_better.at(better, start) == store_duty::speak);
+            RC_ASSERT(at_worse.at(worse, start) == store_duty::listen);
+        });
 }
 
 TEST_CASE("the best link reads for its domain, whoever counts")
@@ -160,13 +165,16 @@
 {
     // The story: 985 nodes that started at once each took themselves for the
     // best reader, since their lists were empty, and asked on and on.
-    duty_choice duty;
-    duty.read(start);
-    const auto later = start + duty_choice::lapse - milliseconds(1);
-    CHECK(duty.at(many, later) == store_duty::rely);
-    CHECK(duty.at(1, later) == store_duty::rely);
+    store_role_choice duty;
+    duty.store_answered(start);
+    const auto later =
+        start + store_role_choice::staleness_limit - milliseconds(1);
+    CHECK(duty.at(many, later) == store_duty::listen);
+    CHECK(duty.at(1, later) == store_duty::listen);
     CHECK(duty.at(0, later) == store_duty::speak);
-    CHECK(duty.at(many, start + duty_choice::lapse) == store_duty::follow);
-    duty.heard(0, many, milliseconds(0), later);
-    CHECK(duty.at(many, start + duty_choice::lapse) == store_duty::rely);
+    CHECK(duty.at(many, start + store_role_choice::staleness_limit) ==
+          store_duty::poll);
+    duty.update_received(0, many, milliseconds(0), later);
+    CHECK(duty.at(many, start + store_role_choice::staleness_limit) ==
+          store_duty::listen);
 }
