--- a/include/tillerhall/control/route_controller.hpp
+++ b/include/tillerhall/control/route_controller.hpp
@@ -26,9 +26,9 @@
  * it.
  *
  * A few readers a failure domain ask the store (see `store_role_choice`). After
- * each of its answers a reader sends a word through the tree over its
+ * each of its answers a reader sends a update through the tree over its
  * domain's members, with the routes if they are new. A node that hears of a
- * higher version, by word or by heartbeat, and does not get it asks the one
+ * higher version, by update or by heartbeat, and does not get it asks the one
  * who told. Runs on the first worker.
  */
 class route_controller
@@ -73,26 +73,27 @@
     };
 
     boost::json::object on_routes(const boost::json::object& params);
-    boost::json::object on_word(const boost::json::object& params);
+    boost::json::object on_update(const boost::json::object& params);
     /** @param grace for the version to come by itself */
-    void heard_of(std::uint64_t version, const address& peer, duration grace);
+    void
+    learned_version(std::uint64_t version, const address& peer, duration grace);
     bool pull(const address& peer);
 
     void follow_loop();
-    step rely();
+    step listen();
     step ask_store(step how);
     outcome read_row();
     outcome follow_once();
-    outcome take_last(const row_page& page, bool is_whole);
+    outcome apply_last(const row_page& page, bool is_whole);
     /** @param latest when the store can have answered at the latest */
     void answered(std::uint64_t revision, time_point latest);
-    void take(const std::string& value, const char* from);
-    void take_packed(const std::string& packed, const char* from);
+    void apply(const std::string& value, const char* from);
+    void apply_packed(const std::string& packed, const char* from);
     void note_store(const error* failed);
-    void note_duty(store_duty now);
+    void note_role(store_duty now);
 
     void speak();
-    void send_on(const routes_word& word);
+    void forward(const routes_word& update);
 
     mesh_state& m_mesh;
     row_store& m_store;
@@ -101,15 +102,16 @@
     std::function<void(const std::set<std::string>&, std::uint64_t)>
         m_on_drained;
     backoff m_waits;
-    store_role_choice m_duty;
-    time_point m_begun{};
-    store_duty m_last_duty = store_duty::poll;
+    store_role_choice m_role;
+    time_point m_started{};
+    store_duty m_last_role = store_duty::poll;
     std::string m_packed;         ///< routes in force, for peers
     std::uint64_t m_revision = 0; ///< of the store, up to which it was read
     std::uint64_t m_taken_revision = 0; ///< of the row that was taken last
-    std::uint64_t m_spoken_version = 0; ///< sent to the domain with its routes
-    time_point m_answered{};            ///< the store's last answer
-    bool m_has_heard = false;           ///< a reader's word
+    std::uint64_t m_announced_version =
+        0;                     ///< sent to the domain with its routes
+    time_point m_answered{};   ///< the store's last answer
+    bool m_has_update = false; ///< a reader's update
     bool m_store_lost = false;
     bool m_pulling = false;
 };
--- a/src/control/route_controller.cpp
+++ b/src/control/route_controller.cpp
@@ -19,35 +19,35 @@
 // A feed whose answer was lost says nothing more. A wait of this length and
 // the client's margin find that out within the 3 s after which a host counts
 // as in touch with the store again.
-constexpr milliseconds own_feed_wait(2'000);
+constexpr milliseconds poller_feed_wait(2'000);
 // After each answer a reader speaks, so this is how often its domain hears of
 // the store; see `store_role_choice::staleness_limit`.
 constexpr milliseconds reader_feed_wait(600);
 // The row holds the newest version only: in a storm of changes each is
 // outdated by the next, so who follows rests before it reads again. This
-// leaves more than half of the 2 s that a change may take. Readers are few
+// leaves more than half of the 2 s that a change may apply. Readers are few
 // and their routes have the way to the others before them.
-constexpr milliseconds own_rest(800);
+constexpr milliseconds poller_rest(800);
 constexpr milliseconds reader_rest(500);
 constexpr milliseconds least_wait(100);
 constexpr milliseconds most_wait(800);
 // Peers of other domains may have a version this much earlier: a reader rests,
-// reads, and its word has two or three hops to go.
+// reads, and its update has two or three hops to go.
 constexpr milliseconds peer_grace(700);
 // An answer without changes is as old as the end of its wait, whenever this
 // process came to read it.
-constexpr milliseconds answer_slack(100);
+constexpr milliseconds answer_margin(100);
 constexpr milliseconds pull_timeout(1'000);
-// A member that takes longer is passed over: the next word is due by then.
-constexpr milliseconds word_timeout(600);
-// A node that relies looks at least this often whether it still may.
-constexpr milliseconds least_rest(20);
+// A member that takes longer is passed over: the next update is due by then.
+constexpr milliseconds update_timeout(600);
+// A node that is_listening looks at least this often whether it still may.
+constexpr milliseconds least_listen_wait(20);
 
 // A node that starts with all others is alone in its list at first, and would
-// take itself for the best reader. Within this it has heard of the others.
-constexpr milliseconds meets_others(700);
+// apply itself for the best reader. Within this it has heard of the others.
+constexpr milliseconds membership_grace(700);
 
-constexpr std::array<std::string_view, 3> duty_names{"rely", "follow", "speak"};
+constexpr std::array<std::string_view, 3> role_names{"rely", "follow", "speak"};
 
 } // namespace
 
@@ -66,14 +66,14 @@
     m_mesh.server.add(method::routes, traffic_kind::snapshot,
                       [this](const json::object& p) { return on_routes(p); });
     m_mesh.server.add(method::routes_word, traffic_kind::delta,
-                      [this](const json::object& p) { return on_word(p); });
+                      [this](const json::object& p) { return on_update(p); });
     m_mesh.routes_heard = [this](std::uint64_t version, const address& peer)
-    { heard_of(version, peer, peer_grace); };
+    { learned_version(version, peer, peer_grace); };
 }
 
 void route_controller::start()
 {
-    m_begun = steady_clock::now();
+    m_started = steady_clock::now();
     m_mesh.on.spawn([this] { follow_loop(); });
 }
 
@@ -89,35 +89,35 @@
         {{"version", m_mesh.board.call_map.get()->version()}});
 }
 
-void route_controller::note_duty(store_duty now)
+void route_controller::note_role(store_duty now)
 {
-    if (now == m_last_duty)
+    if (now == m_last_role)
         return;
     const auto name = [](store_duty duty)
-    { return duty_names[static_cast<std::size_t>(duty)]; };
+    { return role_names[static_cast<std::size_t>(duty)]; };
     const auto gauge = [&](store_duty duty) -> auto&
     {
         return m_mesh.board.metrics.get("tillerhall_store_duty",
                                         "duty=\"" + std::string(name(duty)) +
                                             "\"");
     };
-    gauge(m_last_duty).set(0);
+    gauge(m_last_role).set(0);
     gauge(now).set(1);
     m_mesh.board.decisions.note("store_duty", m_mesh.members.self().rpc.text(),
                                 std::string(name(now)),
-                                {{"before", name(m_last_duty)},
+                                {{"before", name(m_last_role)},
                                  {"rank", reader_rank(m_mesh.members)},
                                  {"members", m_mesh.members.live_count()}});
-    m_last_duty = now;
+    m_last_role = now;
 }
 
 store_duty route_controller::duty() const
 {
     const auto now = steady_clock::now();
-    const auto rank = now < m_begun + meets_others
+    const auto rank = now < m_started + membership_grace
                           ? store_role_choice::candidates
                           : reader_rank(m_mesh.members);
-    return m_duty.at(rank, now);
+    return m_role.at(rank, now);
 }
 
 void route_controller::follow_loop()
@@ -126,16 +126,16 @@
     while (true)
     {
         const auto now = duty();
-        note_duty(now);
-        const bool relies = now == store_duty::listen && known();
-        next = relies ? rely() : ask_store(next);
+        note_role(now);
+        const bool is_listening = now == store_duty::listen && known();
+        next = is_listening ? listen() : ask_store(next);
     }
 }
 
-route_controller::step route_controller::rely()
+route_controller::step route_controller::listen()
 {
-    const auto left = m_duty.listens_until() - steady_clock::now();
-    sleep_for(m_mesh.on.io(), std::max<duration>(left, least_rest));
+    const auto left = m_role.listens_until() - steady_clock::now();
+    sleep_for(m_mesh.on.io(), std::max<duration>(left, least_listen_wait));
     return step::follow;
 }
 
@@ -151,7 +151,7 @@
         // storm, so after a rest the row is read instead.
         m_waits.reset();
         sleep_for(m_mesh.on.io(),
-                  duty() == store_duty::speak ? reader_rest : own_rest);
+                  duty() == store_duty::speak ? reader_rest : poller_rest);
         return step::read;
     case outcome::unchanged:
         m_waits.reset();
@@ -163,9 +163,10 @@
 void route_controller::answered(std::uint64_t revision, time_point latest)
 {
     m_answered = std::min(steady_clock::now(), latest);
-    // All start at once: who asked on until the first word would ask for each.
-    if (!m_has_heard)
-        m_duty.store_answered(m_answered);
+    // All start at once: who asked on until the first update would ask for
+    // each.
+    if (!m_has_update)
+        m_role.store_answered(m_answered);
     m_revision = std::max(m_revision, revision);
 }
 
@@ -177,7 +178,7 @@
     if (!page)
         return outcome::failed;
     answered(page->revision, time_point::max());
-    const auto taken = take_last(*page, !page->more);
+    const auto taken = apply_last(*page, !page->more);
     speak();
     return taken;
 }
@@ -185,7 +186,7 @@
 route_controller::outcome route_controller::follow_once()
 {
     const duration wait =
-        duty() == store_duty::speak ? reader_feed_wait : own_feed_wait;
+        duty() == store_duty::speak ? reader_feed_wait : poller_feed_wait;
     const auto begin = steady_clock::now();
     const auto page = m_store.follow(m_source.row.table, m_revision, wait);
     if (!page && page.reason().code() == error_code::history_lost)
@@ -193,14 +194,14 @@
     note_store(page ? nullptr : &page.reason());
     if (!page)
         return outcome::failed;
-    answered(page->revision, begin + wait + answer_slack);
-    const auto taken = take_last(*page, false);
+    answered(page->revision, begin + wait + answer_margin);
+    const auto taken = apply_last(*page, false);
     speak();
     return taken;
 }
 
-route_controller::outcome route_controller::take_last(const row_page& page,
-                                                      bool is_whole)
+route_controller::outcome route_controller::apply_last(const row_page& page,
+                                                       bool is_whole)
 {
     if (m_on_rows)
         m_on_rows(page, is_whole);
@@ -212,11 +213,11 @@
         last->revision == m_taken_revision)
         return outcome::unchanged;
     m_taken_revision = last->revision;
-    take(last->value, "store");
+    apply(last->value, "store");
     return outcome::changed;
 }
 
-void route_controller::take(const std::string& value, const char* from)
+void route_controller::apply(const std::string& value, const char* from)
 {
     const auto routes = m_source.decode(value);
     auto& board = m_mesh.board;
@@ -245,9 +246,9 @@
                           {"routes", (*routes)->routes().size()}});
 }
 
-void route_controller::heard_of(std::uint64_t version,
-                                const address& peer,
-                                duration grace)
+void route_controller::learned_version(std::uint64_t version,
+                                       const address& peer,
+                                       duration grace)
 {
     if (m_pulling || version <= m_mesh.board.call_map.get()->version())
         return;
@@ -275,15 +276,15 @@
         return false;
     const auto* packed = answer->if_contains("c");
     if (packed != nullptr && packed->is_string())
-        take_packed(std::string(packed->as_string()), "peer");
+        apply_packed(std::string(packed->as_string()), "peer");
     return true;
 }
 
-void route_controller::take_packed(const std::string& packed, const char* from)
+void route_controller::apply_packed(const std::string& packed, const char* from)
 {
     const auto value = unpack_text(packed);
     if (value)
-        return take(*value, from);
+        return apply(*value, from);
     m_mesh.board.decisions.note("routes_refused", from,
                                 value.reason().message(),
                                 {{"bytes", packed.size()}});
@@ -302,63 +303,64 @@
     if (!known() || duty() != store_duty::speak)
         return;
     const auto version = m_mesh.board.call_map.get()->version();
-    routes_word word;
-    word.reader = m_mesh.members.self().rpc.text();
-    word.rank = reader_rank(m_mesh.members);
-    word.version = version;
-    word.revision = m_revision;
-    word.store_age_ms = to_ms(steady_clock::now() - m_answered);
-    if (version != m_spoken_version)
-        word.packed = m_packed;
-    word.drained = m_mesh.board.drains.get()->domains();
-    word.range = domain_range(m_mesh.members.self());
-    m_spoken_version = version;
-    send_on(word);
+    routes_word update;
+    update.reader = m_mesh.members.self().rpc.text();
+    update.rank = reader_rank(m_mesh.members);
+    update.version = version;
+    update.revision = m_revision;
+    update.store_age_ms = to_ms(steady_clock::now() - m_answered);
+    if (version != m_announced_version)
+        update.packed = m_packed;
+    update.drained = m_mesh.board.drains.get()->domains();
+    update.range = domain_range(m_mesh.members.self());
+    m_announced_version = version;
+    forward(update);
 }
 
-void route_controller::send_on(const routes_word& word)
+void route_controller::forward(const routes_word& update)
 {
-    const auto told = steady_clock::now();
+    const auto received = steady_clock::now();
     send_to_range(m_mesh,
-                  {method::routes_word, traffic_kind::delta, word_timeout,
-                   [word, told](const key_range& part)
+                  {method::routes_word, traffic_kind::delta, update_timeout,
+                   [update, received](const key_range& part)
                    {
-                       auto sent = word;
-                       sent.store_age_ms += to_ms(steady_clock::now() - told);
+                       auto sent = update;
+                       sent.store_age_ms +=
+                           to_ms(steady_clock::now() - received);
                        sent.range = part;
                        return to_json(sent);
                    }},
-                  word.range);
+                  update.range);
 }
 
-json::object route_controller::on_word(const json::object& params)
+json::object route_controller::on_update(const json::object& params)
 {
-    const auto word = routes_word_from_json(params);
-    const auto reader = address::parse(word.reader);
+    const auto update = routes_word_from_json(params);
+    const auto reader = address::parse(update.reader);
     if (!reader)
         return {{"e", name_of(reader.reason().code())},
                 {"d", reader.reason().detail()}};
-    if (!is_meant_for(m_mesh.members.self(), word.range))
+    if (!is_meant_for(m_mesh.members.self(), update.range))
         return {{"e", name_of(error_code::invalid_argument)},
                 {"d", "not this node's range"}};
-    send_on(word);
+    forward(update);
     if (m_on_drained)
-        m_on_drained(word.drained, word.revision);
+        m_on_drained(update.drained, update.revision);
     const auto in_force = m_mesh.board.call_map.get()->version();
-    if (word.version > in_force && !word.packed.empty())
-        take_packed(word.packed, "reader");
-    if (m_mesh.board.call_map.get()->version() < word.version)
+    if (update.version > in_force && !update.packed.empty())
+        apply_packed(update.packed, "reader");
+    if (m_mesh.board.call_map.get()->version() < update.version)
     {
-        // Its routes came with an earlier word, which was lost on the way.
-        heard_of(word.version, *reader, duration::zero());
+        // Its routes came with an earlier update, which was lost on the way.
+        learned_version(update.version, *reader, duration::zero());
         return {};
     }
-    m_has_heard = true;
+    m_has_update = true;
     // What the reader has read of the store this node has, too.
-    m_revision = std::max(m_revision, word.revision);
-    m_duty.update_received(
-        word.rank, reader_rank(m_mesh.members),
-        milliseconds(std::max<std::int64_t>(0, word.store_age_ms)),
+    m_revision = std::max(m_revision, update.revision);
+    m_role.update_received(
+        update.rank, reader_rank(m_mesh.members),
+        milliseconds(std::max<std::int64_t>(0, update.store_age_ms)),
         steady_clock::now());
     return {};
 }
