--- a/include/tillerhall/distribution/write_pace.hpp
+++ b/include/tillerhall/distribution/write_pace.hpp
@@ -29,17 +29,17 @@
 
     /** @return how long to wait before the first write of a node that starts
      * and knows of @p members; it is found without its row. */
-    duration first(std::size_t members, random_source& random) const;
+    duration initial_delay(std::size_t members, random_source& random) const;
 
     /** The part had no room. @return how long to wait for the next try. */
-    duration refused(std::size_t members, random_source& random);
+    duration delay_after_refusal(std::size_t members, random_source& random);
 
     /** The part took a write. */
-    void taken() noexcept { m_refusals = 0; }
+    void accepted() noexcept { m_refusals = 0; }
 
 private:
     /** @return twice the time in which the part takes a write of each. */
-    duration time_of(std::size_t members) const;
+    duration spread_for(std::size_t members) const;
 
     double m_per_s;
     unsigned m_refusals = 0; ///< since a write was taken
--- a/src/control/directory_controller.cpp
+++ b/src/control/directory_controller.cpp
@@ -245,7 +245,7 @@
 duration directory_controller::retry_wait(const error& failed)
 {
     return failed.code() == error_code::retry_later
-               ? m_pace.refused(m_mesh.members.live_count(), m_mesh.random)
+               ? m_pace.delay_after_refusal(m_mesh.members.live_count(), m_mesh.random)
                : m_write_waits.next(m_mesh.random);
 }
 
@@ -254,7 +254,7 @@
     // Who knows nobody is found by its row only; others have joined by now.
     const auto known = m_mesh.members.live_count();
     if (!m_has_written && !own_record_stored() && known > 1)
-        wait_before_write(m_pace.first(known, m_mesh.random));
+        wait_before_write(m_pace.initial_delay(known, m_mesh.random));
     m_has_written = true;
     while (!own_record_stored() && !write_once())
         ;
@@ -277,7 +277,7 @@
         wait_before_write(retry_wait(outcome.reason()));
         return false;
     }
-    m_pace.taken();
+    m_pace.accepted();
     const bool is_new = m_own_revision == 0;
     m_own_revision = outcome->revision;
     if (!outcome->written)
--- a/src/distribution/write_pace.cpp
+++ b/src/distribution/write_pace.cpp
@@ -11,36 +11,38 @@
 constexpr std::chrono::seconds least_spread(4);
 constexpr std::chrono::seconds most_spread(60);
 // Half of what a part takes is left for writes that cannot wait.
-constexpr double part_used = 0.5;
+constexpr double used_share = 0.5;
 
-duration any_within(duration span, random_source& random)
+duration uniform_within(duration span, random_source& random)
 {
     return std::chrono::duration_cast<duration>(span * random.unit());
 }
 
 } // namespace
 
-duration write_pace::time_of(std::size_t members) const
+duration write_pace::spread_for(std::size_t members) const
 {
     const std::chrono::duration<double> seconds(static_cast<double>(members) /
-                                                (m_per_s * part_used));
+                                                (m_per_s * used_share));
     return std::chrono::duration_cast<duration>(seconds);
 }
 
-duration write_pace::first(std::size_t members, random_source& random) const
+duration write_pace::initial_delay(std::size_t members,
+                                   random_source& random) const
 {
-    return any_within(std::min<duration>(time_of(members), most_spread),
-                      random);
+    return uniform_within(std::min<duration>(spread_for(members), most_spread),
+                          random);
 }
 
-duration write_pace::refused(std::size_t members, random_source& random)
+duration write_pace::delay_after_refusal(std::size_t members,
+                                         random_source& random)
 {
     constexpr unsigned most_doublings = 4;
     const auto grown =
         least_spread * (1U << std::min(m_refusals, most_doublings));
-    const auto span = std::max<duration>(grown, time_of(members));
+    const auto span = std::max<duration>(grown, spread_for(members));
     ++m_refusals;
-    return any_within(std::min<duration>(span, most_spread), random);
+    return uniform_within(std::min<duration>(span, most_spread), random);
 }
 
 } // namespace tillerhall
--- a/tests/unit/write_pace.cpp
+++ b/tests/unit/write_pace.cpp
@@ -21,7 +21,7 @@
 constexpr double part_per_s = 150;
 
 /** The part: writes one after another, none when a second of them waits. */
-class played_part
+class simulated_part
 {
 public:
     /** @return when the write is done; nothing if it is refused. */
@@ -39,13 +39,14 @@
 };
 
 /** How one start of all went. */
-struct played_start
+struct start_result
 {
     double calls_a_node = 0;
     double all_written_s = 0;
 };
 
-played_start play(std::size_t nodes, std::uint64_t seed, bool first_start)
+start_result
+simulate_start(std::size_t nodes, std::uint64_t seed, bool first_start)
 {
     struct attempt
     {
@@ -70,11 +71,11 @@
     {
         const double begin = 0.3 * random.unit();
         const double wait =
-            first_start ? 0 : seconds(paces[i].first(nodes, random));
+            first_start ? 0 : seconds(paces[i].initial_delay(nodes, random));
         due.push({begin + wait, i});
     }
-    played_part part;
-    played_start end;
+    simulated_part part;
+    start_result end;
     double calls = 0;
     while (!due.empty())
     {
@@ -86,7 +87,8 @@
             end.all_written_s = std::max(end.all_written_s, *done);
             continue;
         }
-        const auto wait = paces[next.node].refused(known_at(next.at), random);
+        const auto wait =
+            paces[next.node].delay_after_refusal(known_at(next.at), random);
         due.push({next.at + seconds(wait), next.node});
     }
     end.calls_a_node = calls / static_cast<double>(nodes);
@@ -100,7 +102,7 @@
     for (const std::size_t nodes : {13U, 75U, 300U, 985U, 2'700U})
         for (std::uint64_t seed = 1; seed <= 5; ++seed)
         {
-            const auto end = play(nodes, seed, true);
+            const auto end = simulate_start(nodes, seed, true);
             CAPTURE(nodes, seed, end.calls_a_node, end.all_written_s);
             CHECK(end.calls_a_node <= 3);
             // Three times what the part needs, and what one refusal costs.
@@ -113,7 +115,7 @@
 {
     for (const std::size_t nodes : {75U, 985U, 2'700U})
     {
-        const auto end = play(nodes, 3, false);
+        const auto end = simulate_start(nodes, 3, false);
         CAPTURE(nodes, end.calls_a_node);
         CHECK(end.calls_a_node <= 1.05);
     }
@@ -124,13 +126,13 @@
     random_source random(1);
     write_pace pace(part_per_s);
     for (int i = 0; i < 9; ++i)
-        pace.refused(10, random);
-    pace.taken();
+        pace.delay_after_refusal(10, random);
+    pace.accepted();
     for (int i = 0; i < 50; ++i)
     {
-        CHECK(pace.refused(10, random) <= std::chrono::seconds(4));
-        pace.taken();
+        CHECK(pace.delay_after_refusal(10, random) <= std::chrono::seconds(4));
+        pace.accepted();
     }
     // One node more or less in a small mesh makes no difference to anyone.
-    CHECK(pace.first(13, random) <= milliseconds(200));
+    CHECK(pace.initial_delay(13, random) <= milliseconds(200));
 }
