--- a/src/control/directory_controller.cpp
+++ b/src/control/directory_controller.cpp
@@ -245,7 +245,8 @@
 duration directory_controller::retry_wait(const error& failed)
 {
     return failed.code() == error_code::retry_later
-               ? m_pace.delay_after_refusal(m_mesh.members.live_count(), m_mesh.random)
+               ? m_pace.delay_after_refusal(m_mesh.members.live_count(),
+                                            m_mesh.random)
                : m_write_waits.next(m_mesh.random);
 }
 
