--- a/include/tillerhall/control/quota_controller.hpp
+++ b/include/tillerhall/control/quota_controller.hpp
@@ -1,4 +1,4 @@
-/** @file Tells ledgers what accounts spend, and entries what may pass. */
+/** @file Exchanges usage counts and limits between entries and ledgers. */
 #pragma once
 
 #include "tillerhall/distribution/key_range.hpp"
@@ -15,11 +15,11 @@
 {
 
 /**
- * The best reader of each failure domain keeps a ledger. Entries report theirs
- * what came, a few times a second or once where nothing did, and hear what is
- * limited; ledgers report each other their domain's totals, and their domain at
- * once when an account becomes limited. Without accounts nothing is sent. Runs
- * on the first worker.
+ * The best reader of each failure domain keeps a ledger. Entries send it their
+ * counts several times a second (once if nothing arrived) and receive the
+ * limits in the answer. Ledgers exchange the totals of their domains and
+ * broadcast to their own domain when an account becomes limited. Nothing is
+ * sent if no accounts are configured. Runs on the first worker.
  */
 class quota_controller
 {
@@ -31,7 +31,7 @@
 
 private:
     void report_loop();
-    /** Tells the first ledger that answers, that of this domain first. */
+    /** Sends counts to the first ledger that answers, this domain's first. */
     void report(const std::vector<quota_counts>& counts);
     void exchange_loop();
     void exchange();
@@ -40,16 +40,16 @@
     boost::json::object on_totals(const boost::json::object& params);
     boost::json::object on_limits(const boost::json::object& params);
 
-    /** Takes counts of this domain's entries. @return what is limited. */
+    /** Adds counts of this domain's entries. @return the limits in force. */
     std::vector<quota_limit>
     add_counts(const std::vector<quota_counts>& counts);
-    /** Takes the accounts of the version in force into the ledger. */
+    /** Copies the accounts of the version in force into the ledger. */
     void refresh_accounts();
-    /** Tells the domain's entries when more is limited than they know. */
+    /** Sends the limits to the domain's entries if accounts were added. */
     void broadcast_limits();
     void send_limits(const std::vector<quota_limit>& limits,
                      const key_range& range);
-    /** @return ledgers, that of this node's failure domain first. */
+    /** Returns all ledgers, that of this node's failure domain first. */
     std::vector<address> ledgers() const;
     duration report_interval() const;
 
@@ -58,7 +58,7 @@
     quota_ledger m_ledger;
     std::uint64_t m_version = 0; ///< of the accounts in the ledger
     std::map<std::string, quota_counts>
-        m_unsent_totals; ///< not told to other ledgers
+        m_unsent_totals; ///< not yet sent to other ledgers
     limit_news m_limit_changes;
 };
 
--- a/src/control/quota_controller.cpp
+++ b/src/control/quota_controller.cpp
@@ -15,8 +15,7 @@
 namespace json = boost::json;
 
 constexpr milliseconds least_interval(250);
-// A ledger takes a word of each entry of its domain in so long, on a host of a
-// tenth of a core: at 60 entries the least report_interval, at 600 it is 2.5 s.
+// Added per entry of the domain, so that a ledger on a slow host keeps up.
 constexpr milliseconds interval_per_entry(4);
 constexpr milliseconds call_timeout(300);
 
