--- a/include/tillerhall/control/directory_controller.hpp
+++ b/include/tillerhall/control/directory_controller.hpp
@@ -1,4 +1,4 @@
-/** @file The members' rows in the store: how nodes find each other. */
+/** @file Publishes this node in the store and discovers the other members. */
 #pragma once
 
 #include "tillerhall/core/backoff.hpp"
@@ -13,22 +13,21 @@
 namespace tillerhall
 {
 
-/** Where members keep their rows, and who follows them. */
+/** Settings of the directory of members. */
 struct directory_settings
 {
-    std::string table = "members";
-    /** @return whether this node reads the store for its failure domain. */
+    std::string table = "members"; ///< of the store
+    /** Returns true while this node reads the store for its failure domain. */
     std::function<bool()> is_reader;
 };
 
 /**
- * Each node has one row, its own record, and reads those of the others at its
- * start; from then on nodes tell each other, and only readers follow the
- * rows. What must last is where the node is found and which starts of its
- * target have left, so the row is written when one of these changes, not with
- * each change of the target's state. Each write is conditional on the
- * revision before it, so one that the store does late cannot undo a newer
- * one. Runs on the first worker.
+ * Each node stores its member record as one row and reads all rows when it
+ * starts. Later changes are exchanged between the nodes; only readers keep
+ * following the rows. The row is written when a persistent field changes
+ * (addresses, departed targets, crashes), not with each change of the target's
+ * state. Each write is conditional on the previous revision, so a write that
+ * the store applies late cannot undo a newer one. Runs on the first worker.
  */
 class directory_controller
 {
@@ -38,20 +37,20 @@
                          row_store& store,
                          directory_settings config);
 
-    /** @param loaded called when the rows were first read, or a peer has
-     * told of the members instead */
+    /** @param loaded called once the members are known, from the rows or
+     * from a peer */
     void start(std::function<void()> loaded);
 
-    /** @return whether the members are known from the store or from a peer. */
+    /** Returns true once the members are known. */
     bool is_loaded() const noexcept { return m_loaded; }
 
-    /** Writes this node's record soon, if the row lacks what must last. */
+    /** Schedules a write if the row lacks a persistent field. */
     void own_record_changed();
 
-    /** The same at once: someone waits for what must last. */
+    /** The same without delay, for a caller that waits for the write. */
     void write_now();
 
-    /** @return whether the row holds all of this node that must last. */
+    /** Returns true if the row has all persistent fields of this node. */
     bool own_record_stored() const;
 
 private:
@@ -63,14 +62,14 @@
     void follow_loop();
     void write_loop();
     bool write_once();
-    /** Waits for the next try, or until someone cannot wait. */
+    /** Waits up to @p span; `write_now` cuts the wait short. */
     void wait_before_write(duration span);
-    /** @return how long to wait after a write that failed as @p failed says. */
+    /** Returns the delay before the next attempt after @p failed. */
     duration retry_wait(const error& failed);
     /**
-     * Reads what has changed behind the first write of the own row: of any two
-     * nodes that start at once the one that wrote later then knows the other,
-     * and tells it.
+     * Reads the changes since the rows were loaded, after the first write of
+     * the own row. Of two nodes that start together the later writer thus finds
+     * the other and announces itself to it.
      */
     void reread_until_done();
     bool read_changes();
@@ -87,13 +86,13 @@
     write_pace m_pace;
     boost::asio::steady_timer m_write_wait;
     std::function<void()> m_on_loaded;
-    std::uint64_t m_revision = 0;     ///< of the store, up to which it was read
-    std::uint64_t m_own_revision = 0; ///< of this node's row
-    std::optional<member> m_stored;   ///< what this node's row holds
+    std::uint64_t m_revision = 0;     ///< of the store, read up to here
+    std::uint64_t m_own_revision = 0; ///< of the own row
+    std::optional<member> m_stored;   ///< content of the own row
     bool m_loaded = false;
     bool m_rows_read = false;
     bool m_writing = false;
-    bool m_is_urgent = false; ///< someone waits for the row
+    bool m_is_urgent = false; ///< a caller waits for the write
     bool m_has_written = false;
 };
 
--- a/src/control/directory_controller.cpp
+++ b/src/control/directory_controller.cpp
@@ -14,21 +14,19 @@
 
 constexpr milliseconds least_wait(150);
 constexpr milliseconds most_wait(1'000);
-// Nodes tell each other of changes, so a feed that went silent may be found
-// out late here.
+// A lost feed may be detected late, since nodes also exchange changes directly.
 constexpr milliseconds feed_wait(8'000);
 constexpr milliseconds reader_check_interval(1'000);
-// A peer's answer brings what rows do not hold (which targets merge_rows work);
-// in a calm mesh it is there within this. After a loss of all hosts' power it
-// is not: peers start as well, and a node that waits 0.3 s for them refuses
-// calls that its own target and others could run.
+// A peer's answer adds state that is not in the rows (which targets take work).
+// The wait is short, because after a power loss peers are starting too and this
+// node would refuse calls meanwhile.
 constexpr milliseconds join_wait(60);
-// Changes come in bursts (a start of all, a release): one read for many. The
-// nodes tell each other of a change at once; the rows are the net below that.
+// Changes come in bursts (start of all nodes, a release), so one read covers
+// many. Nodes exchange changes directly; the rows are the fallback.
 constexpr milliseconds rest_after_change(2'000);
 
-/** @return whether @p row is_covered_by what must last of @p self. */
-bool is_covered_by(const member& row, const member& self)
+/** Returns true if @p row has all persistent fields of @p self. */
+bool has_persistent_fields(const member& row, const member& self)
 {
     return row.rpc == self.rpc && row.peer == self.peer &&
            row.caller == self.caller && row.operators == self.operators &&
@@ -68,7 +66,7 @@
 
 bool directory_controller::own_record_stored() const
 {
-    return m_stored && is_covered_by(*m_stored, m_mesh.members.self());
+    return m_stored && has_persistent_fields(*m_stored, m_mesh.members.self());
 }
 
 void directory_controller::start(std::function<void()> loaded)
@@ -118,10 +116,10 @@
     for (const auto& each : m_mesh.members.all())
         if (each.rpc != m_mesh.members.self().rpc)
             peers.push_back(each.rpc);
-    // In any order: when all start, all would ask the first ones of the list.
+    // Random order spreads the requests when all nodes start together.
     std::ranges::shuffle(peers, m_mesh.random);
-    // Behind the rows one answer is enough, and 195 records cost the one who
-    // gives it and the one who takes it several milliseconds on a slow host.
+    // One answer is enough once the rows are read; answers carry all records
+    // and are costly for both sides.
     return !peers.empty() &&
            m_membership.join_through(
                peers, m_rows_read ? 1 : membership_controller::peers_asked);
@@ -129,8 +127,8 @@
 
 bool directory_controller::load_rows()
 {
-    // Changes since the first page come again with the feed.
-    std::optional<std::uint64_t> first;
+    // Following from the first page's revision repeats later changes.
+    std::optional<std::uint64_t> first_revision;
     std::string from;
     while (true)
     {
@@ -141,14 +139,14 @@
                                         page.reason().message());
             return false;
         }
-        if (!first)
-            first = page->revision;
+        if (!first_revision)
+            first_revision = page->revision;
         merge_rows(page->rows);
         if (!page->more || page->rows.empty())
             break;
-        from = page->rows.back().name.key + ' '; // the least key behind it
+        from = page->rows.back().name.key + ' '; // the smallest key after it
     }
-    m_revision = *first;
+    m_revision = *first_revision;
     return true;
 }
 
@@ -181,10 +179,11 @@
                                          const member& record)
 {
     if (row.revision < m_own_revision)
-        return; // this boot has written since
+        return; // older than this boot's own write
     m_own_revision = row.revision;
     m_stored = record;
-    // Takes over the marks of earlier boots and goes above their incarnation.
+    // Adopts the departure records of earlier boots and raises the incarnation
+    // above theirs.
     m_membership.learn({record});
 }
 
@@ -252,7 +251,8 @@
 
 void directory_controller::write_loop()
 {
-    // Who knows nobody is found by its row only; others have joined by now.
+    // A node that knows no peers is found by its row only, so it writes at
+    // once.
     const auto known = m_mesh.members.live_count();
     if (!m_has_written && !own_record_stored() && known > 1)
         wait_before_write(m_pace.initial_delay(known, m_mesh.random));
@@ -261,7 +261,7 @@
         ;
     m_writing = false;
     m_is_urgent = false;
-    // A change that came while the last write was on its way.
+    // The record changed while the last write was in progress.
     if (!own_record_stored())
         own_record_changed();
 }
@@ -283,7 +283,7 @@
     m_own_revision = outcome->revision;
     if (!outcome->written)
     {
-        // An earlier write was done late; the next one goes on top of it.
+        // An earlier write was applied late; retry with its revision.
         wait_before_write(m_write_waits.next(m_mesh.random));
         return false;
     }
