--- a/include/tillerhall/control/report_controller.hpp
+++ b/include/tillerhall/control/report_controller.hpp
@@ -1,4 +1,4 @@
-/** @file Takes the reports of the target beside this node. */
+/** @file Processes the reports of the target on this host. */
 #pragma once
 
 #include "tillerhall/control/directory_controller.hpp"
@@ -8,10 +8,10 @@
 {
 
 /**
- * Takes reports into the register, tells the other nodes and, for a leaving,
- * sees to it that it is copies where this node's next boot finds it before
- * it is acknowledged: in the store or, when that does not answer, by two peers.
- * Runs on the first worker.
+ * Applies reports to the target registry and announces the result to the other
+ * nodes. The departure of a target is acknowledged only when the next boot of
+ * this node will find it: in the store or, if that does not answer, at two
+ * peers. Runs on the first worker.
  */
 class report_controller
 {
@@ -23,16 +23,17 @@
                       target_owner& owner);
 
     /**
-     * Takes one report.
-     * @return whether it may be acknowledged; false asks the target to report
-     * again, as a leaving could not be copies anywhere.
+     * Processes one report.
+     * @return true if it may be acknowledged; false if a departure could not be
+     * persisted, so that the target must report again.
      */
     bool take(const target_report& report);
 
-    /** The members are known: reports can be trusted from now on. */
+    /** The departure records of earlier boots are loaded; reports are judged
+     * from now on. */
     void marks_loaded();
 
-    /** The owner has seen what others should know, such as a target's end. */
+    /** Announces changes that the owner observed, such as a target crash. */
     void tell_news();
 
 private:
--- a/src/control/report_controller.cpp
+++ b/src/control/report_controller.cpp
@@ -7,8 +7,7 @@
 namespace
 {
 
-// An acknowledgement must reach the target within a second; the store
-// normally answers in a hundredth of that.
+// An acknowledgement must reach the target within one second.
 constexpr milliseconds persist_limit(800);
 constexpr milliseconds store_only_for(250);
 constexpr milliseconds persist_poll(4);
@@ -84,7 +83,7 @@
 
 bool report_controller::take(const target_report& report)
 {
-    apply_departures(); // a peer may have told of an earlier boot's since
+    apply_departures(); // a peer may have sent those of earlier boots
     const auto verdict = m_targets.take(report, steady_clock::now());
     if (verdict == report_verdict::stale)
     {
@@ -133,7 +132,7 @@
     std::erase_if(peers, [&](const member& each)
                   { return each.rpc == own.rpc || !is_live(each); });
     std::ranges::shuffle(peers, m_mesh.random);
-    // Other domains first: what takes this host may take its neighbours.
+    // Other failure domains first: neighbours may fail together with this host.
     std::ranges::stable_partition(peers, [&](const member& each)
                                   { return each.place != own.place; });
     peers.resize(std::min(peers.size(), peers_asked));
