--- a/include/tillerhall/control/rollout_api.hpp
+++ b/include/tillerhall/control/rollout_api.hpp
@@ -1,4 +1,4 @@
-/** @file Roll-outs for operators: listed, explained, ordered and taken back. */
+/** @file HTTP API for operators: list, start and revert roll-outs. */
 #pragma once
 
 #include "tillerhall/control/rollout_decider.hpp"
@@ -10,22 +10,22 @@
 namespace tillerhall
 {
 
-/** Answers under /v1/rollouts, at the address for operators. */
+/** Serves /v1/rollouts at the operators' address. */
 class rollout_api
 {
 public:
-    /** @param token without which nothing is changed */
+    /** @param token required for requests that change roll-outs */
     rollout_api(rollout_book& book,
                 rollout_decider& decider,
                 rollout_keeper& keeper,
                 std::string token);
 
-    /** @return nothing if @p request is for something else. */
+    /** Returns nothing if @p request is for another path or method. */
     std::optional<http_response> answer(const http_request& request);
 
 private:
     http_response post_order(const http_request& request);
-    /** Orders the release back that a service had before. */
+    /** Orders the service's previous stable release. */
     http_response revert(const http_request& request);
     http_response order(const rollout_order& wanted);
 
--- a/src/control/rollout_api.cpp
+++ b/src/control/rollout_api.cpp
@@ -14,7 +14,7 @@
 
 constexpr const char* path = "/v1/rollouts";
 constexpr double ms_per_s = 1000;
-// A release needs some seconds of calls before it can be known to be good.
+// Time limits of a roll-out; a comparison needs at least some seconds of calls.
 constexpr double least_s = 5;
 constexpr double most_s = 7 * 86'400;
 
