--- a/include/tillerhall/control/rollout_reporter.hpp
+++ b/include/tillerhall/control/rollout_reporter.hpp
@@ -1,4 +1,4 @@
-/** @file Tells the deciding nodes what ran at the target beside this node. */
+/** @file Reports the runs of this host's target to the deciding nodes. */
 #pragma once
 
 #include "tillerhall/control/rollout_decider.hpp"
@@ -9,8 +9,8 @@
 namespace tillerhall
 {
 
-/** Reports while a roll-out of this node's service runs; else it is silent.
- * Runs on the first worker. */
+/** Sends reports while a roll-out of this node's service is running. Runs on
+ * the first worker. */
 class rollout_reporter
 {
 public:
@@ -24,7 +24,7 @@
 
 private:
     void report_loop();
-    /** @return whether a report is due, and if so by what release. */
+    /** Returns true if @p target is to be reported in this tick. */
     bool is_due(const rollout_record& record, const target_report& target);
     owner_report report_of(const target_report& target) const;
     void send(const owner_report& report);
--- a/src/control/rollout_reporter.cpp
+++ b/src/control/rollout_reporter.cpp
@@ -12,19 +12,19 @@
 namespace
 {
 
-// At 100 runs a second of which a third fail this is some five bad answers
-// preceding they are known; a report is about a fifth of a call's work.
+// Short, so that a failing release is detected after few failed calls.
 constexpr milliseconds report_interval(150);
-// Once many new targets report, and when all wait for the last runs of the old
-// release, every second time; what that does is compared over seconds.
+// Reports are sent every n-th tick once many canary targets report, when all
+// wait for the last runs of the old release, and from stable targets.
 constexpr unsigned ticks_many_canaries = 2;
 constexpr unsigned ticks_stable = 4;
 constexpr milliseconds report_timeout(400);
-// So many owners tell enough of a release that has many targets. At 2,700
-// hosts all of them would be too many reports for those who decide.
+// Limits the stable targets that report, so that the load on the deciding nodes
+// does not grow with the mesh.
 constexpr std::size_t most_reporting = 24;
 
-/** @return whether this node's target is among the first of its release. */
+/** Returns true if this node's target is among those of its release that
+ * report; the sample is chosen by hash. */
 bool is_sampled(const member_list& members, const member& self)
 {
     const auto sample_key = [](const member& of)
