--- a/include/tillerhall/control/rollout_book.hpp
+++ b/include/tillerhall/control/rollout_book.hpp
@@ -1,4 +1,4 @@
-/** @file What this node knows of roll-outs, told to and heard from peers. */
+/** @file Records of all roll-outs, merged with those of the other nodes. */
 #pragma once
 
 #include "tillerhall/distribution/key_range.hpp"
@@ -15,41 +15,42 @@
 {
 
 /**
- * Merges the records of roll-outs from wherever they come, publishes them on
- * the blackboard and tells all nodes at once of what is new: a verdict of one
- * node binds all. Heartbeats and joins carry the newest ones as well, for nodes
- * that a broadcast missed. Runs on the first worker.
+ * Merges the records of roll-outs from all sources, publishes them on the
+ * blackboard and broadcasts changes: the outcome that one node decides binds
+ * all. Heartbeats and joins repeat recent records for nodes that a broadcast
+ * missed. Runs on the first worker.
  */
 class rollout_book
 {
 public:
     explicit rollout_book(mesh_state& mesh);
 
-    /** Adds the control method by which peers tell of roll-outs. */
+    /** Adds the control method that receives records from peers. */
     void add_methods();
 
-    /** Called after every change, when the new view is published. */
+    /** Adds an action to run after each change, once the view is published. */
     void on_change(std::function<void()> action);
 
-    /** Takes @p offered, and tells everyone if it is news. */
+    /** Merges @p offered and broadcasts the record if it changed.
+     * @param from where it came from, for the log */
     void merge_and_broadcast(const rollout_record& offered, const char* from);
 
-    /** Takes what one node asked or answered; rumors do the rest. */
+    /** Merges records that a peer sent, without a broadcast. */
     void merge_records(const std::vector<rollout_record>& offered);
 
-    /** @return the records that are worth a place in a heartbeat now. */
+    /** Returns the running and recently changed records, for heartbeats. */
     std::vector<rollout_record> recent() const;
 
     const rollout_view::by_service& records() const { return m_records; }
 
-    /** @return null if nothing was ordered for @p service. */
+    /** Returns null if there is no roll-out of @p service. */
     const rollout_record* find(const std::string& service) const;
 
-    /** The members have changed: finds out which releases are settled. */
+    /** Updates the stable releases after a change of the members. */
     void note_members();
 
 private:
-    /** A release that all targets of a service have, and since when. */
+    /** The only release of a service, and since when it is alone. */
     struct sole_release
     {
         std::string release;
--- a/src/control/rollout_book.cpp
+++ b/src/control/rollout_book.cpp
@@ -14,15 +14,14 @@
 namespace json = boost::json;
 
 constexpr milliseconds broadcast_timeout(600);
-// Heartbeats reach all nodes of a large mesh within some ten rounds of 1 s.
+// Long enough for heartbeats to reach all nodes of a large mesh.
 constexpr std::chrono::seconds recent_after_change(30);
-// Targets report each second or two, so a node that has just started may know
-// those of one release only.
+// A node that has just started may know the targets of one release only.
 constexpr std::chrono::seconds stable_after(4);
 
 const std::string from_peer = "peer";
 
-/** @return how many serving targets of each release a service has. */
+/** Returns the number of serving targets by service and release. */
 std::map<std::string, std::map<std::string, std::size_t>>
 count_releases(const member_list& members)
 {
@@ -39,7 +38,7 @@
 rollout_book::rollout_book(mesh_state& mesh)
     : m_mesh(mesh)
 {
-    publish(); // so that the settings' exposure holds from the start
+    publish(); // applies the exposure of the settings from the start
 }
 
 void rollout_book::add_methods()
@@ -77,7 +76,7 @@
              "service=\"" + service + "\",state=\"" +
                  std::string(name_of(now.state)) + "\"")
         .add();
-    // What another node decided step by step stands in that node's log.
+    // The deciding node logs its own steps.
     if (was == now.state && from == from_peer)
         return true;
     m_mesh.board.decisions.note(
