--- a/include/tillerhall/control/rollout_keeper.hpp
+++ b/include/tillerhall/control/rollout_keeper.hpp
@@ -1,4 +1,4 @@
-/** @file Reads orders of roll-outs from the store and keeps their states. */
+/** @file Reads roll-out orders from the store and writes their states. */
 #pragma once
 
 #include "tillerhall/control/rollout_book.hpp"
@@ -12,16 +12,16 @@
 {
 
 /**
- * The store's side of roll-outs. Any node may write a state; the condition on
- * the row's revision settles between several, so nobody leads. "Completed" is
- * true only once it is written; "rolled back" is true at once, and written as
- * soon as the store takes it. Runs on the first worker.
+ * Synchronizes roll-outs with the store. Any node may write a state; a write is
+ * conditional on the row's revision, so no leader is needed. A roll-out is
+ * completed only once that is written; a rollback takes effect at once and is
+ * written as soon as the store accepts it. Runs on the first worker.
  */
 class rollout_keeper
 {
 public:
-    /** @param reads_for_others whether this node writes what it only heard of
-     */
+    /** @param reads_for_others returns true if this node also writes states
+     * that other nodes decided */
     rollout_keeper(mesh_state& mesh,
                    rollout_book& book,
                    row_store& store,
@@ -30,42 +30,42 @@
 
     void start();
 
-    /** Takes rows of the table that holds the orders. */
+    /** Applies rows of the table that holds the orders. */
     void rows_seen(const std::vector<stored_row>& rows);
 
-    /** This node found the state of @p service 's roll-out: it writes it. */
+    /** Makes this node write the state of @p service 's roll-out. */
     void mark_decided_here(const std::string& service)
     {
         m_decided_here.insert(service);
     }
 
     /**
-     * Writes an order into the store, in place of the one that is there.
-     * @return the revision of the order, or why it was not taken.
+     * Writes an order into the store, replacing the present one.
+     * @return the revision of the order, or why it was not accepted.
      */
     result<std::uint64_t> store_order(const rollout_order& order);
 
     /**
-     * Writes that @p record is completed. @return whether it is, by this or an
-     * earlier write; if so it is known to all nodes soon.
+     * Writes that @p record is completed and broadcasts it.
+     * @return true if it is completed, by this or an earlier write.
      */
     bool complete(const rollout_record& record);
 
 private:
     void sync_loop();
-    /** Reads the state of an order that was seen here; who decided or reads for
-     * others writes until the row says what the record says. */
+    /** Reads the stored state of an order if it is not known, and writes the
+     * record's state if this node may and the row differs. */
     void sync(const std::string& service);
-    /** Every node sees the order when all start at once: after a loss of all,
-     * with the store away again, 120 nodes that tried to write would make some
-     * 400 calls a second. */
+    /** Returns true if this node decided or reads for others. When all nodes
+     * start at once all see the order; writes by each would overload the store.
+     */
     bool may_write(const std::string& service) const;
     bool read_state(const std::string& service);
     void apply_state(const rollout_record& known, const stored_verdict& read);
     bool write(const rollout_record& record, rollout_state state);
     void apply_order(const rollout_order& order);
-    /** Takes what the store said; who may write tells all nodes of it. When all
-     * start at once, each would tell all others the same. */
+    /** Merges a record read from the store. Only nodes that may write broadcast
+     * it, since all nodes may read it at the same time. */
     void merge_stored(const rollout_record& read);
 
     mesh_state& m_mesh;
@@ -73,10 +73,12 @@
     row_store& m_store;
     rollout_source m_source;
     std::function<bool()> m_reads_for_others;
-    std::map<std::string, std::uint64_t> m_orders;  ///< revisions seen here
-    std::map<std::string, stored_verdict> m_stored; ///< as last read or written
-    std::set<std::string> m_decided_here;           ///< services
-    std::set<std::string> m_refused; ///< keys of orders that were refused
+    std::map<std::string, std::uint64_t>
+        m_orders; ///< revisions seen, by service
+    std::map<std::string, stored_verdict> m_stored; ///< last read or written
+    std::set<std::string>
+        m_decided_here;              ///< services whose state this node decided
+    std::set<std::string> m_refused; ///< key and value of refused orders
 };
 
 } // namespace tillerhall
--- a/src/control/rollout_keeper.cpp
+++ b/src/control/rollout_keeper.cpp
@@ -8,8 +8,7 @@
 namespace
 {
 
-// The store answers in 4 ms; a try each 0.3 s is soon enough after an outage
-// and a small part of the calls that following the routes costs.
+// Soon enough after a store outage, at a small share of the calls to the store.
 constexpr milliseconds sync_interval(300);
 
 rollout_record record_of(const rollout_order& order)
@@ -103,7 +102,7 @@
                                      record->state != rollout_state::unread);
     if (!is_read && !read_state(service))
         return;
-    record = m_book.find(service); // reading waited, so it may be another
+    record = m_book.find(service); // may have changed during the read
     if (record == nullptr || record->order.revision != revision ||
         record->state == rollout_state::unread)
         return;
@@ -147,7 +146,7 @@
                                  const stored_verdict& read)
 {
     auto next = known;
-    // A state from before the order is of an earlier one.
+    // A state written before the order belongs to an earlier order.
     const bool is_of_order = read.revision > known.order.revision &&
                              read.release == known.order.release;
     next.state = std::max(known.state,
@@ -156,7 +155,7 @@
     {
         const auto age = milliseconds(static_cast<std::int64_t>(
             std::max(wall_clock_ms(), read.begun_ms) - read.begun_ms));
-        // Hosts' clocks differ by seconds: never older than the order's time.
+        // Host clocks differ, so the age is limited to the order's time.
         next.begun = std::min(known.begun,
                               steady_clock::now() -
                                   std::min<duration>(age, known.order.time));
@@ -196,7 +195,7 @@
                                 outcome ? "another node wrote it"
                                         : outcome.reason().message(),
                                 {{"state", name_of(state)}});
-    // It may have been done, by whomever: the row tells.
+    // This or another write may have been applied: read the row.
     if (outcome || outcome.reason().code() == error_code::outcome_unknown)
         read_state(service);
     return false;
