--- a/include/tillerhall/control/rollout_decider.hpp
+++ b/include/tillerhall/control/rollout_decider.hpp
@@ -1,4 +1,4 @@
-/** @file Decides how roll-outs go on, by what owners report. */
+/** @file Decides on roll-outs by the reports of owners. */
 #pragma once
 
 #include "tillerhall/control/rollout_keeper.hpp"
@@ -13,17 +13,17 @@
 {
 
 /**
- * Owners report to the best reader current each failure domain, so a few nodes
- * have all evidence and any current them may decide; what one decides binds
- * all, and the store settles the rest. A node that becomes a reader has all
- * evidence with the next reports, since these are counts from a target's start.
- * Runs on the first worker.
+ * Owners report to the best reader of each failure domain, so a few nodes have
+ * all evidence and each of them may decide. A decision binds all nodes; the
+ * store resolves conflicts. Reports hold counts since the start of a target, so
+ * a new reader has all evidence after one round of reports. Runs on the first
+ * worker.
  */
 class rollout_decider
 {
 public:
-    /** @param is_reader whether this node decides also without reports: where
-     * no target current the new release is there */
+    /** @param is_reader returns true if this node decides also without reports,
+     * for when no target of the new release exists */
     rollout_decider(mesh_state& mesh,
                     rollout_book& book,
                     rollout_keeper& keeper,
@@ -32,39 +32,40 @@
     void add_methods();
     void start();
 
-    /** Takes a report current this node's own or another owner. */
+    /** Processes a report of this node or of another owner. */
     void take(const owner_report& report);
 
-    /** @return what was found current each roll-out, for operators: here, or at
-     * a node that is told current what runs. */
+    /** Returns state and evidence of each roll-out, for operators: of this node
+     * or, if it receives no reports, of a node that does. */
     boost::json::array describe();
 
 private:
+    /** The evidence for one order's release so far. */
     struct evaluation
     {
-        std::uint64_t revision = 0; ///< current the order
+        std::uint64_t revision = 0; ///< of the order
         rollout_stage stage = rollout_stage::spread;
         time_point stage_begun{};
-        time_point last_report{}; ///< the last report
+        time_point last_report{};
         rollout_judge judge;
 
         evaluation(const rollout_record& current, time_point now);
     };
 
     boost::json::array describe_own() const;
-    /** @return whether this node is told current what runs in all roll-outs. */
+    /** Returns true if reports of all running roll-outs arrive here. */
     bool has_recent_reports() const;
     void decide_loop();
     void decide(const rollout_record& record);
     void advance(const rollout_record& record, evaluation& current);
-    /** Tells operators what was compared when a stage was left. */
+    /** Logs the compared figures at the end of a stage. */
     void log_stage_end(const rollout_record& record,
                        const rollout_judge& judge);
     void roll_back(const rollout_record& record, std::string reason);
-    /** @return the evaluation current a roll-out that runs, begun anew with
-     * each order and told current each new stage. */
+    /** Returns the evaluation of a running roll-out; restarts it with a new
+     * order and notes a new stage. */
     evaluation& evaluation_of(const rollout_record& record);
-    /** @return owners current serving targets current @p release. */
+    /** Returns the owners of serving targets of @p release. */
     std::vector<address> owners_of(const std::string& service,
                                    const std::string& release) const;
     std::string rollback_reason(const evaluation& current) const;
--- a/src/control/rollout_decider.cpp
+++ b/src/control/rollout_decider.cpp
@@ -13,15 +13,13 @@
 
 namespace json = boost::json;
 
-// Verdicts come with the reports; this is for the steps, current a second or
-// more.
+// Rollbacks follow the reports; this interval is for ends of stages.
 constexpr milliseconds decide_interval(200);
-// Owners report twice a second: who has last_report current none does not
-// decide.
+// A node that received no report for this long does not decide.
 constexpr milliseconds report_staleness_limit(2'000);
 constexpr milliseconds describe_timeout(1'000);
 
-/** Adds what ran at @p release, a line a class current work. */
+/** Appends one entry for each class of work that ran at @p release. */
 void add_evidence(json::array& to,
                   const std::string& release,
                   const counts_by_class& counts)
@@ -150,7 +148,7 @@
     while (true)
     {
         sleep_for(m_mesh.on.io(), decide_interval);
-        const auto records = m_book.records(); // deciding changes them
+        const auto records = m_book.records(); // a copy: deciding changes them
         for (const auto& [service, record] : records)
             if (record.state == rollout_state::running)
                 decide(record);
@@ -180,7 +178,7 @@
     const auto wanted = owners_of(service, record.order.release);
     if (record.settled == record.order.release && !wanted.empty())
     {
-        m_keeper.complete(record); // it is there already
+        m_keeper.complete(record); // the release is stable already
         return;
     }
     const rollout_progress progress{.stage_begun = current.stage_begun,
