--- a/include/tillerhall/control/rollout_source.hpp
+++ b/include/tillerhall/control/rollout_source.hpp
@@ -1,4 +1,4 @@
-/** @file How orders of roll-outs and their states stand in the store. */
+/** @file How roll-out orders and states are stored. */
 #pragma once
 
 #include "tillerhall/rollout/rollout_record.hpp"
@@ -11,19 +11,19 @@
 namespace tillerhall
 {
 
-/** What an adapter knows of the rows of roll-outs. */
+/** Mapping between roll-outs and rows, supplied by a platform adapter. */
 struct rollout_source
 {
-    /** Reads a row of the table that holds the routes. @return nothing if it
-     * is no order; else the order, or why it is refused. */
+    /** Decodes a row of the table that holds the routes. Returns nothing if it
+     * is not an order, else the order or why it is refused. */
     std::function<std::optional<result<rollout_order>>(const stored_row&)>
         decode_order;
 
-    /** @return the row that holds the order for a service, and its text. */
+    /** Returns the row of a service's order; below, its text. */
     std::function<row_name(const std::string& service)> order_row;
     std::function<std::string(const rollout_order&)> encode_order;
 
-    /** @return the row that tells how the roll-out of a service stands. */
+    /** Returns the row of the state of a service's roll-out. */
     std::function<row_name(const std::string& service)> verdict_row;
 
     std::function<result<stored_verdict>(const stored_row&)> decode_verdict;
