--- a/include/tillerhall/control/drain_book.hpp
+++ b/include/tillerhall/control/drain_book.hpp
@@ -1,4 +1,4 @@
-/** @file Orders to drain failure domains: read with the routes, told on. */
+/** @file The failure domains that operators ordered to drain. */
 #pragma once
 
 #include "tillerhall/node/mesh_state.hpp"
@@ -14,16 +14,16 @@
 {
 
 /**
- * Keeps the view of drained failure domains. Their rows stand in the table of
- * the routes, so readers see them with the same answers, and each reader's word
- * tells all of them with the revision of the store that they are of: the newest
- * revision holds, whoever brings it. A node that relies on nobody reads them
+ * Maintains the view of drained failure domains. Their rows are in the table of
+ * the routes, so readers receive them with the routes, and each routes update
+ * carries all of them with the revision of the store. The newest revision wins,
+ * whatever its source. A node that does not listen to a reader reads the rows
  * itself. Runs on the first worker.
  */
 class drain_book
 {
 public:
-    /** @return the domain that a row orders to drain, or nothing. */
+    /** Returns the domain that a row orders to drain, or nothing. */
     using decoder =
         std::function<std::optional<std::string>(const stored_row&)>;
 
@@ -33,17 +33,17 @@
     {
     }
 
-    /** Called when the view has changed, with the one before. */
+    /** Sets the action to run after a change, with the previous view. */
     void on_change(std::function<void(const domain_drains&)> action)
     {
         m_on_change = std::move(action);
     }
 
-    /** Takes an answer of the store.
-     * @param is_whole it holds every row, not only changes */
+    /** Applies an answer of the store.
+     * @param is_whole true if it holds every row, not only changes */
     void rows_seen(const row_page& page, bool is_whole);
 
-    /** Takes what a reader has told. */
+    /** Applies the domains of a routes update. */
     void heard(const std::set<std::string>& domains, std::uint64_t revision);
 
 private:
