--- a/include/tillerhall/control/routes_word.hpp
+++ b/include/tillerhall/control/routes_word.hpp
@@ -1,4 +1,4 @@
-/** @file What a reader tells the nodes of its failure domain of the routes. */
+/** @file The message by which a reader announces the routes to its domain. */
 #pragma once
 
 #include "tillerhall/distribution/key_range.hpp"
@@ -11,18 +11,18 @@
 namespace tillerhall
 {
 
-/** Which version the store had a moment ago, with its routes if it is new. */
+/** The version in the store when it was last read, with its routes if new. */
 struct routes_word
 {
-    std::string reader;            ///< control address of who read the store
+    std::string reader;            ///< control address
     std::size_t rank = 0;          ///< of the reader in its domain
-    std::uint64_t version = 0;     ///< of the routes in force there
-    std::uint64_t revision = 0;    ///< of the store, up to which it was read
+    std::uint64_t version = 0;     ///< of the routes in force at the reader
+    std::uint64_t revision = 0;    ///< of the store, read up to here
     std::int64_t store_age_ms = 0; ///< since the store's answer
-    std::string packed;            ///< the routes, empty if not new
+    std::string packed;            ///< the packed routes; empty if not new
     /** Drained failure domains at `revision`. */
     std::set<std::string> drained;
-    key_range range; ///< members that the receiver tells on
+    key_range range; ///< members to which the receiver forwards
 };
 
 boost::json::object to_json(const routes_word& sent);
