--- a/include/tillerhall/control/route_controller.hpp
+++ b/include/tillerhall/control/route_controller.hpp
@@ -21,7 +21,7 @@
 };
 
 /**
- * Follows the row that holds the routes. A version is taken whole or not at
+ * Follows the row that holds the routes. A version is applied whole or not at
  * all, and only if its number is higher than that in force, whoever brings
  * it.
  *
@@ -75,8 +75,9 @@
     boost::json::object on_routes(const boost::json::object& params);
     boost::json::object on_update(const boost::json::object& params);
     /** @param grace for the version to come by itself */
-    void
-    learned_version(std::uint64_t version, const address& peer, duration grace);
+    void on_newer_version(std::uint64_t version,
+                          const address& peer,
+                          duration grace);
     bool pull(const address& peer);
 
     void follow_loop();
@@ -85,8 +86,8 @@
     outcome read_row();
     outcome follow_once();
     outcome apply_last(const row_page& page, bool is_whole);
-    /** @param latest when the store can have answered at the latest */
-    void answered(std::uint64_t revision, time_point latest);
+    /** @param latest when the store can have note_answer at the latest */
+    void note_answer(std::uint64_t revision, time_point latest);
     void apply(const std::string& value, const char* from);
     void apply_packed(const std::string& packed, const char* from);
     void note_store(const error* failed);
@@ -107,11 +108,11 @@
     store_duty m_last_role = store_duty::poll;
     std::string m_packed;         ///< routes in force, for peers
     std::uint64_t m_revision = 0; ///< of the store, up to which it was read
-    std::uint64_t m_taken_revision = 0; ///< of the row that was taken last
+    std::uint64_t m_applied_revision = 0; ///< of the row that was applied last
     std::uint64_t m_announced_version =
-        0;                     ///< sent to the domain with its routes
-    time_point m_answered{};   ///< the store's last answer
-    bool m_has_update = false; ///< a reader's update
+        0;                              ///< sent to the domain with its routes
+    time_point m_answered{};            ///< the store's last answer
+    bool m_has_received_update = false; ///< a reader's update
     bool m_store_lost = false;
     bool m_pulling = false;
 };
--- a/src/control/route_controller.cpp
+++ b/src/control/route_controller.cpp
@@ -68,7 +68,7 @@
     m_mesh.server.add(method::routes_word, traffic_kind::delta,
                       [this](const json::object& p) { return on_update(p); });
     m_mesh.routes_heard = [this](std::uint64_t version, const address& peer)
-    { learned_version(version, peer, peer_grace); };
+    { on_newer_version(version, peer, peer_grace); };
 }
 
 void route_controller::start()
@@ -160,12 +160,12 @@
     return step::read;
 }
 
-void route_controller::answered(std::uint64_t revision, time_point latest)
+void route_controller::note_answer(std::uint64_t revision, time_point latest)
 {
     m_answered = std::min(steady_clock::now(), latest);
     // All start at once: who asked on until the first update would ask for
     // each.
-    if (!m_has_update)
+    if (!m_has_received_update)
         m_role.store_answered(m_answered);
     m_revision = std::max(m_revision, revision);
 }
@@ -177,10 +177,10 @@
     note_store(page ? nullptr : &page.reason());
     if (!page)
         return outcome::failed;
-    answered(page->revision, time_point::max());
-    const auto taken = apply_last(*page, !page->more);
+    note_answer(page->revision, time_point::max());
+    const auto applied = apply_last(*page, !page->more);
     speak();
-    return taken;
+    return applied;
 }
 
 route_controller::outcome route_controller::follow_once()
@@ -194,10 +194,10 @@
     note_store(page ? nullptr : &page.reason());
     if (!page)
         return outcome::failed;
-    answered(page->revision, begin + wait + answer_margin);
-    const auto taken = apply_last(*page, false);
+    note_answer(page->revision, begin + wait + answer_margin);
+    const auto applied = apply_last(*page, false);
     speak();
-    return taken;
+    return applied;
 }
 
 route_controller::outcome route_controller::apply_last(const row_page& page,
@@ -210,9 +210,9 @@
     const auto last =
         std::ranges::find(changes, m_source.row, &stored_row::name);
     if (last == changes.end() || last->removed ||
-        last->revision == m_taken_revision)
+        last->revision == m_applied_revision)
         return outcome::unchanged;
-    m_taken_revision = last->revision;
+    m_applied_revision = last->revision;
     apply(last->value, "store");
     return outcome::changed;
 }
@@ -246,9 +246,9 @@
                           {"routes", (*routes)->routes().size()}});
 }
 
-void route_controller::learned_version(std::uint64_t version,
-                                       const address& peer,
-                                       duration grace)
+void route_controller::on_newer_version(std::uint64_t version,
+                                        const address& peer,
+                                        duration grace)
 {
     if (m_pulling || version <= m_mesh.board.call_map.get()->version())
         return;
@@ -352,10 +352,10 @@
     if (m_mesh.board.call_map.get()->version() < update.version)
     {
         // Its routes came with an earlier update, which was lost on the way.
-        learned_version(update.version, *reader, duration::zero());
+        on_newer_version(update.version, *reader, duration::zero());
         return {};
     }
-    m_has_update = true;
+    m_has_received_update = true;
     // What the reader has read of the store this node has, too.
     m_revision = std::max(m_revision, update.revision);
     m_role.update_received(
