--- a/include/tillerhall/distribution/store_role.hpp
+++ b/include/tillerhall/distribution/store_role.hpp
@@ -1,4 +1,4 @@
-/** @file Whether a node asks the store by itself or relies on a reader. */
+/** @file Whether a node polls the store or listens to a reader. */
 #pragma once
 
 #include "tillerhall/core/time.hpp"
@@ -13,54 +13,53 @@
 /** How a node learns of changes in the store. */
 enum class store_duty
 {
-    listen, ///< a reader of its failure domain tells it
-    poll,   ///< it asks the store, for itself
-    speak   ///< it asks the store and tells the nodes of its domain
+    listen, ///< receives the updates of a reader of its domain
+    poll,   ///< asks the store, for itself only
+    speak   ///< asks the store and sends updates to its domain
 };
 
 /**
- * A few readers a failure domain ask the store; the others hear of them, with
- * each word, how long ago the store answered. A node that has update_received
- * of no answer for `staleness_limit` asks the store itself, whatever the
- * reason, so it is never further behind than the staleness_limit and one call,
- * also when cut from its peers. Of the `candidates` best readers the first one
- * speaks; the next ones take over while they hear nothing fresh from a better
- * one. Pure.
+ * A few readers in each failure domain ask the store and send routes updates
+ * with the time since the store's answer. A node without an update newer than
+ * `staleness_limit` polls the store itself, also when cut off from its peers,
+ * so it lags behind by at most that limit and one call. Of the `candidates`
+ * best readers the first announces; the next take over when they receive no
+ * recent update from a better one. Pure.
  */
 class store_role_choice
 {
 public:
-    /** Readers that may speak for a domain. */
+    /** Number of readers that may announce in a domain. */
     static constexpr std::size_t candidates = 3;
 
-    /** A word comes each 0.6 s; one may be lost on the way, and 0.2 s are for
-     * the way itself. With a call to the store this leaves a quarter of the
-     * 2 s in which the users want a change in force. */
+    /** Two intervals of updates and their transit, so that one lost update is
+     * tolerated; a call to the store still fits into the 2 s in which a change
+     * must be in force. */
     static constexpr milliseconds staleness_limit{1'400};
 
-    /** Notes the word of a reader of rank @p from, @p age after the store's
-     * answer. */
+    /** Notes an update.
+     * @param from rank of its reader
+     * @param age time since the store's answer */
     void update_received(std::size_t from,
                          std::size_t own_rank,
                          duration age,
                          time_point now) noexcept
     {
-        // Of two that speak the worse one falls silent, never both.
+        // Of two announcers only the worse one stops.
         if (from >= own_rank && own_rank < candidates)
             return;
         const auto answered = now - age;
         m_answered = m_answered ? std::max(*m_answered, answered) : answered;
     }
 
-    /** Notes that this node, which has just started, was answered by the store
-     * at @p now: until the staleness_limit it waits for the word of a reader.
-     */
+    /** Notes an answer of the store at @p now to this node, which has just
+     * started: it listens for updates until the staleness limit. */
     void store_answered(time_point now) noexcept
     {
         m_answered = m_answered ? std::max(*m_answered, now) : now;
     }
 
-    /** @return what a node of rank @p own_rank does at @p now. */
+    /** Returns the role of a node of rank @p own_rank at @p now. */
     store_duty at(std::size_t own_rank, time_point now) const noexcept
     {
         if (own_rank == 0)
@@ -70,15 +69,14 @@
         return own_rank < candidates ? store_duty::speak : store_duty::poll;
     }
 
-    /** @return when a node that relies asks the store if it hears nothing. */
+    /** Returns when a listening node stops unless an update arrives. */
     time_point listens_until() const noexcept
     {
         return m_answered ? *m_answered + staleness_limit : time_point{};
     }
 
 private:
-    std::optional<time_point>
-        m_answered; ///< newest answer that it update_received of
+    std::optional<time_point> m_answered; ///< newest known answer of the store
 };
 
 } // namespace tillerhall
