--- a/include/tillerhall/control/route_controller.hpp
+++ b/include/tillerhall/control/route_controller.hpp
@@ -12,24 +12,24 @@
 namespace tillerhall
 {
 
-/** The row that holds the operators' configuration and how it is read. */
+/** The row that holds the operators' configuration, and its decoder. */
 struct route_source
 {
     row_name row;
-    /** @return the routes, or why the whole version must be refused. */
+    /** Returns the routes, or why the version is refused as a whole. */
     std::function<result<call_routes_ptr>(const std::string& value)> decode;
 };
 
 /**
- * Follows the row that holds the routes. A version is applied whole or not at
- * all, and only if its number is higher than that in force, whoever brings
- * it.
+ * Follows the row that holds the routes. A version is applied completely or not
+ * at all, and only if its number is higher than that in force, whatever its
+ * source.
  *
- * A few readers a failure domain ask the store (see `store_role_choice`). After
- * each of its answers a reader sends a update through the tree over its
- * domain's members, with the routes if they are new. A node that hears of a
- * higher version, by update or by heartbeat, and does not get it asks the one
- * who told. Runs on the first worker.
+ * A few readers in each failure domain ask the store (see `store_role_choice`).
+ * After each answer a reader sends a routes update along a tree over its
+ * domain's members, with the routes if they are new. A node that learns of a
+ * higher version by an update or a heartbeat, but does not receive its routes,
+ * pulls them from the sender. Runs on the first worker.
  */
 class route_controller
 {
@@ -39,15 +39,15 @@
     void add_methods();
     void start();
 
-    /** Called with each answer of the store, whatever its rows hold, and
-     * whether it holds all rows of the table or only changes. */
+    /** Sets the action for each answer of the store; @p is_whole is true if it
+     * holds all rows of the table, not only changes. */
     void on_rows(std::function<void(const row_page&, bool is_whole)> action)
     {
         m_on_rows = std::move(action);
     }
 
-    /** Called with the drained domains that a reader told, and the revision of
-     * the store that they are of. */
+    /** Sets the action for the drained domains of a routes update, with the
+     * store's revision that they were read at. */
     void on_drained(
         std::function<void(const std::set<std::string>&, std::uint64_t)> action)
     {
@@ -56,7 +56,7 @@
 
     bool known() const { return m_mesh.board.call_map.get()->version() != 0; }
 
-    /** @return what this node does about the store now. */
+    /** Returns the present role of this node. */
     store_duty duty() const;
 
 private:
@@ -74,7 +74,7 @@
 
     boost::json::object on_routes(const boost::json::object& params);
     boost::json::object on_update(const boost::json::object& params);
-    /** @param grace for the version to come by itself */
+    /** @param grace time to wait for a routes update before pulling */
     void on_newer_version(std::uint64_t version,
                           const address& peer,
                           duration grace);
@@ -86,13 +86,14 @@
     outcome read_row();
     outcome follow_once();
     outcome apply_last(const row_page& page, bool is_whole);
-    /** @param latest when the store can have note_answer at the latest */
+    /** @param latest latest time at which the store can have answered */
     void note_answer(std::uint64_t revision, time_point latest);
     void apply(const std::string& value, const char* from);
     void apply_packed(const std::string& packed, const char* from);
     void note_store(const error* failed);
     void note_role(store_duty now);
 
+    /** Sends a routes update to this domain if this node announces. */
     void speak();
     void forward(const routes_word& update);
 
@@ -106,13 +107,12 @@
     store_role_choice m_role;
     time_point m_started{};
     store_duty m_last_role = store_duty::poll;
-    std::string m_packed;         ///< routes in force, for peers
-    std::uint64_t m_revision = 0; ///< of the store, up to which it was read
-    std::uint64_t m_applied_revision = 0; ///< of the row that was applied last
-    std::uint64_t m_announced_version =
-        0;                              ///< sent to the domain with its routes
-    time_point m_answered{};            ///< the store's last answer
-    bool m_has_received_update = false; ///< a reader's update
+    std::string m_packed;                  ///< routes in force, for peers
+    std::uint64_t m_revision = 0;          ///< of the store, read up to here
+    std::uint64_t m_applied_revision = 0;  ///< of the row applied last
+    std::uint64_t m_announced_version = 0; ///< last sent with its routes
+    time_point m_answered{};               ///< by the store, last time
+    bool m_has_received_update = false;    ///< from a reader
     bool m_store_lost = false;
     bool m_pulling = false;
 };
--- a/src/control/route_controller.cpp
+++ b/src/control/route_controller.cpp
@@ -16,37 +16,37 @@
 
 namespace json = boost::json;
 
-// A feed whose answer was lost says nothing more. A wait of this length and
-// the client's margin find that out within the 3 s after which a host counts
-// as in touch with the store again.
+// Short enough that a feed with a lost answer is detected before the 3 s after
+// which a host must be in contact with a returned store.
 constexpr milliseconds poller_feed_wait(2'000);
-// After each answer a reader speaks, so this is how often its domain hears of
-// the store; see `store_role_choice::staleness_limit`.
+// A reader announces after each answer, so this is the interval of routes
+// updates; see `store_role_choice::staleness_limit`.
 constexpr milliseconds reader_feed_wait(600);
-// The row holds the newest version only: in a storm of changes each is
-// outdated by the next, so who follows rests before it reads again. This
-// leaves more than half of the 2 s that a change may apply. Readers are few
-// and their routes have the way to the others before them.
+// The row holds the newest version only, so after a change a node rests before
+// it reads again and skips versions outdated meanwhile. Readers rest less,
+// because their updates still have to be forwarded. Both keep within the 2 s in
+// which a change must be in force.
 constexpr milliseconds poller_rest(800);
 constexpr milliseconds reader_rest(500);
 constexpr milliseconds least_wait(100);
 constexpr milliseconds most_wait(800);
-// Peers of other domains may have a version this much earlier: a reader rests,
-// reads, and its update has two or three hops to go.
+// Peers of other domains may have a version this much earlier: the own reader
+// rests and reads, and its update takes two or three hops.
 constexpr milliseconds peer_grace(700);
-// An answer without changes is as old as the end of its wait, whenever this
-// process came to read it.
+// Added to the wait for the latest time of an answer, so that a delay of this
+// process does not make the answer seem newer.
 constexpr milliseconds answer_margin(100);
 constexpr milliseconds pull_timeout(1'000);
-// A member that takes longer is passed over: the next update is due by then.
+// A slower member is skipped, since the next update is due by then.
 constexpr milliseconds update_timeout(600);
-// A node that is_listening looks at least this often whether it still may.
+// Lower bound of the interval at which a listening node checks its role.
 constexpr milliseconds least_listen_wait(20);
 
-// A node that starts with all others is alone in its list at first, and would
-// apply itself for the best reader. Within this it has heard of the others.
+// When all nodes start together a node's member list is empty at first and it
+// would rank itself best. By this time it knows the other members.
 constexpr milliseconds membership_grace(700);
 
+// Names in logs and metrics.
 constexpr std::array<std::string_view, 3> role_names{"rely", "follow", "speak"};
 
 } // namespace
@@ -147,8 +147,8 @@
         sleep_for(m_mesh.on.io(), m_waits.next(m_mesh.random));
         return step::read;
     case outcome::changed:
-        // The row holds the newest version; a feed would bring each one of a
-        // storm, so after a rest the row is read instead.
+        // A feed would deliver each version of a burst; the row holds the
+        // newest only, so it is read after a rest.
         m_waits.reset();
         sleep_for(m_mesh.on.io(),
                   duty() == store_duty::speak ? reader_rest : poller_rest);
@@ -163,8 +163,8 @@
 void route_controller::note_answer(std::uint64_t revision, time_point latest)
 {
     m_answered = std::min(steady_clock::now(), latest);
-    // All start at once: who asked on until the first update would ask for
-    // each.
+    // Makes nodes that start together wait for a reader's update instead of
+    // each polling the store.
     if (!m_has_received_update)
         m_role.store_answered(m_answered);
     m_revision = std::max(m_revision, revision);
@@ -205,7 +205,7 @@
 {
     if (m_on_rows)
         m_on_rows(page, is_whole);
-    // A feed brings every change in its order; only the last one counts.
+    // Pages hold changes in order; only the last one matters.
     const auto changes = page.rows | std::views::reverse;
     const auto last =
         std::ranges::find(changes, m_source.row, &stored_row::name);
@@ -351,12 +351,12 @@
         apply_packed(update.packed, "reader");
     if (m_mesh.board.call_map.get()->version() < update.version)
     {
-        // Its routes came with an earlier update, which was lost on the way.
+        // The routes came with an earlier update, which was lost in transit.
         on_newer_version(update.version, *reader, duration::zero());
         return {};
     }
     m_has_received_update = true;
-    // What the reader has read of the store this node has, too.
+    // This node now knows what the reader has read of the store.
     m_revision = std::max(m_revision, update.revision);
     m_role.update_received(
         update.rank, reader_rank(m_mesh.members),
--- a/tests/unit/store_role.cpp
+++ b/tests/unit/store_role.cpp
@@ -16,7 +16,7 @@
 {
 
 const time_point start = time_point(std::chrono::hours(1));
-constexpr std::size_t many = 7; // a rank that is no candidate
+constexpr std::size_t no_candidate = 7; // a rank that is no candidate
 
 } // namespace
 
@@ -37,24 +37,24 @@
                  const milliseconds age(*rc::gen::inRange(0, 3'000));
                  const auto rank =
                      static_cast<std::size_t>(*rc::gen::inRange(1, 10));
-                 store_role_choice duty;
-                 duty.update_received(0, rank, age, start);
+                 store_role_choice role;
+                 role.update_received(0, rank, age, start);
                  const bool fresh = age < store_role_choice::staleness_limit;
-                 RC_ASSERT((duty.at(rank, start) == store_duty::listen) ==
+                 RC_ASSERT((role.at(rank, start) == store_duty::listen) ==
                            fresh);
                  const auto stale_from =
                      start - age + store_role_choice::staleness_limit;
-                 RC_ASSERT(duty.at(rank, stale_from) != store_duty::listen);
+                 RC_ASSERT(role.at(rank, stale_from) != store_duty::listen);
              });
 }
 
 TEST_CASE("an older word does not shorten what a newer one gave")
 {
-    store_role_choice duty;
-    duty.update_received(0, many, milliseconds(0), start);
-    duty.update_received(1, many, milliseconds(1'300),
+    store_role_choice role;
+    role.update_received(0, no_candidate, milliseconds(0), start);
+    role.update_received(1, no_candidate, milliseconds(1'300),
                          start + milliseconds(50));
-    CHECK(duty.listens_until() == start + store_role_choice::staleness_limit);
+    CHECK(role.listens_until() == start + store_role_choice::staleness_limit);
 }
 
 TEST_CASE("of two that speak the worse one falls silent, never both")
@@ -165,16 +165,16 @@
 {
     // The story: 985 nodes that started at once each took themselves for the
     // best reader, since their lists were empty, and asked on and on.
-    store_role_choice duty;
-    duty.store_answered(start);
+    store_role_choice role;
+    role.store_answered(start);
     const auto later =
         start + store_role_choice::staleness_limit - milliseconds(1);
-    CHECK(duty.at(many, later) == store_duty::listen);
-    CHECK(duty.at(1, later) == store_duty::listen);
-    CHECK(duty.at(0, later) == store_duty::speak);
-    CHECK(duty.at(many, start + store_role_choice::staleness_limit) ==
+    CHECK(role.at(no_candidate, later) == store_duty::listen);
+    CHECK(role.at(1, later) == store_duty::listen);
+    CHECK(role.at(0, later) == store_duty::speak);
+    CHECK(role.at(no_candidate, start + store_role_choice::staleness_limit) ==
           store_duty::poll);
-    duty.update_received(0, many, milliseconds(0), later);
-    CHECK(duty.at(many, start + store_role_choice::staleness_limit) ==
+    role.update_received(0, no_candidate, milliseconds(0), later);
+    CHECK(role.at(no_candidate, start + store_role_choice::staleness_limit) ==
           store_duty::listen);
 }
