--- a/tests/unit/store_role.cpp
+++ b/tests/unit/store_role.cpp
@@ -1,4 +1,4 @@
-/** @file Who asks the store, and what readers tell the others. */
+/** @file Store roles, reader ranks and routes updates. */
 #include "tillerhall/distribution/store_role.hpp"
 #include "tillerhall/control/routes_word.hpp"
 #include "tillerhall/core/base64.hpp"
@@ -16,11 +16,11 @@
 {
 
 const time_point start = time_point(std::chrono::hours(1));
-constexpr std::size_t no_candidate = 7; // a rank that is no candidate
+constexpr std::size_t no_candidate = 7; // a rank that never announces
 
 } // namespace
 
-TEST_CASE("without a word every node asks the store, the candidates for all")
+TEST_CASE("without updates every node asks the store and candidates announce")
 {
     const store_role_choice alone;
     CHECK(alone.at(0, start) == store_duty::speak);
@@ -29,7 +29,7 @@
     CHECK(alone.at(store_role_choice::candidates, start) == store_duty::poll);
 }
 
-TEST_CASE("a node relies on a fresh word and no longer than the lapse")
+TEST_CASE("a node listens until its newest update exceeds the staleness limit")
 {
     rc::prop("whatever the age of the store's answer",
              []
@@ -48,7 +48,7 @@
              });
 }
 
-TEST_CASE("an older word does not shorten what a newer one gave")
+TEST_CASE("an update with an older answer does not shorten listening")
 {
     store_role_choice role;
     role.update_received(0, no_candidate, milliseconds(0), start);
@@ -57,7 +57,7 @@
     CHECK(role.listens_until() == start + store_role_choice::staleness_limit);
 }
 
-TEST_CASE("of two that speak the worse one falls silent, never both")
+TEST_CASE("of two announcers only the worse one stops")
 {
     rc::prop(
         "for any two candidates",
@@ -76,7 +76,7 @@
         });
 }
 
-TEST_CASE("the best link reads for its domain, whoever counts")
+TEST_CASE("all nodes rank the readers of a domain alike, the best link first")
 {
     std::vector<member> all(12);
     for (std::size_t i = 0; i < all.size(); ++i)
@@ -97,7 +97,7 @@
     CHECK(ranks.size() == all.size());
 }
 
-TEST_CASE("a domain's range holds its members and leaves out other domains")
+TEST_CASE("the key range of a domain contains exactly its members")
 {
     rc::prop("for any two members",
              [](const member& one, const member& other)
@@ -113,7 +113,7 @@
              });
 }
 
-TEST_CASE("a word reads as it was written")
+TEST_CASE("a routes update survives a round trip through JSON")
 {
     routes_word sent;
     sent.reader = "10.0.0.1:7400";
@@ -136,7 +136,7 @@
     CHECK_THROWS(routes_word_from_json(cut));
 }
 
-TEST_CASE("texts come back whole from packing, damaged ones are refused")
+TEST_CASE("packed texts unpack unchanged and truncated ones are refused")
 {
     rc::prop("any text",
              [](const std::string& text)
@@ -161,10 +161,10 @@
     CHECK(read.reason().code() == error_code::too_large);
 }
 
-TEST_CASE("a node that has just read the store waits for a reader's word")
+TEST_CASE("a started node listens for an update after its first read")
 {
-    // The story: 985 nodes that started at once each took themselves for the
-    // best reader, since their lists were empty, and asked on and on.
+    // Guards against a start of all nodes in which each ranks itself best, as
+    // its member list is empty, and keeps polling the store.
     store_role_choice role;
     role.store_answered(start);
     const auto later =
