--- a/include/tillerhall/distribution/write_pace.hpp
+++ b/include/tillerhall/distribution/write_pace.hpp
@@ -1,4 +1,4 @@
-/** @file When a node writes its row into a part that all nodes write into. */
+/** @file Spreads the writes of all nodes into one partition of the store. */
 #pragma once
 
 #include "tillerhall/core/random.hpp"
@@ -10,39 +10,39 @@
 {
 
 /**
- * The load it answers: all nodes start within a moment and each writes one row,
- * into a part that takes some hundred a second and refuses when a second's
- * worth waits. Tries that come back sooner than the part can empty are refused
- * as well, and each costs a call. So nobody asks for a turn, but each spreads
- * its tries over the time that all need: by the nodes that it knows and the
- * rate of the part, and over twice as long after each refusal while it knows
- * few, as a node does that has just started. Pure.
+ * Handles a start of all nodes: each writes one row into the same partition,
+ * which accepts a limited number of writes per second and refuses when a
+ * second's worth is queued. Each node delays its attempts by a random time
+ * within the span that all nodes need, from the number of known nodes and the
+ * rate of the partition. The span doubles after each refusal, since a node that
+ * has just started knows few others. Pure.
  */
 class write_pace
 {
 public:
-    /** @param per_s writes that the part takes a second */
+    /** @param per_s writes per second that the partition accepts */
     explicit write_pace(double per_s) noexcept
         : m_per_s(per_s)
     {
     }
 
-    /** @return how long to wait before the first write of a node that starts
-     * and knows of @p members; it is found without its row. */
+    /** Returns the delay before the first write of a node that knows @p
+     * members; these reach it without its row. */
     duration initial_delay(std::size_t members, random_source& random) const;
 
-    /** The part had no room. @return how long to wait for the next try. */
+    /** Notes that the partition refused a write. @return the delay before the
+     * next attempt. */
     duration delay_after_refusal(std::size_t members, random_source& random);
 
-    /** The part took a write. */
+    /** Notes that the partition accepted a write. */
     void accepted() noexcept { m_refusals = 0; }
 
 private:
-    /** @return twice the time in which the part takes a write of each. */
+    /** Returns the span in which each member writes once at the share used. */
     duration spread_for(std::size_t members) const;
 
     double m_per_s;
-    unsigned m_refusals = 0; ///< since a write was taken
+    unsigned m_refusals = 0; ///< in a row
 };
 
 } // namespace tillerhall
--- a/src/distribution/write_pace.cpp
+++ b/src/distribution/write_pace.cpp
@@ -7,10 +7,10 @@
 namespace
 {
 
-// A refusal says that a second's worth waits, so there are more than that.
+// More than the one second of writes that is queued at a refusal.
 constexpr std::chrono::seconds least_spread(4);
 constexpr std::chrono::seconds most_spread(60);
-// Half of what a part takes is left for writes that cannot wait.
+// Share of the partition's rate; the rest is left for urgent writes.
 constexpr double used_share = 0.5;
 
 duration uniform_within(duration span, random_source& random)
--- a/tests/unit/write_pace.cpp
+++ b/tests/unit/write_pace.cpp
@@ -1,11 +1,7 @@
-/** @file Rows of all nodes written into one part of a table, at one start.
+/** @file Writes of all nodes into one partition when they start together.
  *
- * The story: 985 nodes started within a moment and each wrote its row. The part
- * takes 150 writes a second, one after another, and refuses when a second's
- * worth waits. Tries came back each 0.15 to 1 s, and writers left after 1 s
- * without learning that their write was done: 33 s after the start some still
- * tried, at 35 calls a start. Giving the same writers 3 s cut their refused
- * tries from 116 to 7, which shows the cause. */
+ * Guards against retries that arrive before the partition has room and so keep
+ * it refusing. */
 #include "tillerhall/distribution/write_pace.hpp"
 
 #include <catch2/catch.hpp>
@@ -20,11 +16,12 @@
 
 constexpr double part_per_s = 150;
 
-/** The part: writes one after another, none when a second of them waits. */
+/** A partition that writes one row after another and refuses a write while a
+ * second's worth is queued. */
 class simulated_part
 {
 public:
-    /** @return when the write is done; nothing if it is refused. */
+    /** Returns when the write is done, in seconds; nothing if refused. */
     std::optional<double> write(double at)
     {
         const double begin = std::max(at, m_free_at);
@@ -38,7 +35,7 @@
     double m_free_at = 0;
 };
 
-/** How one start of all went. */
+/** Result of one simulated start of all nodes. */
 struct start_result
 {
     double calls_a_node = 0;
@@ -59,7 +56,7 @@
     std::priority_queue<attempt, std::vector<attempt>, std::greater<>> due;
     const auto known_at = [&](double at)
     {
-        // A node that starts with all others hears of them within seconds.
+        // Nodes that start together find each other within seconds.
         return first_start ? static_cast<std::size_t>(
                                  1 + static_cast<double>(nodes - 1) *
                                          std::min(1.0, at / 3))
@@ -97,7 +94,7 @@
 
 } // namespace
 
-TEST_CASE("a first start of all costs few writes a node at any size")
+TEST_CASE("a first start of all nodes costs few writes per node at any size")
 {
     for (const std::size_t nodes : {13U, 75U, 300U, 985U, 2'700U})
         for (std::uint64_t seed = 1; seed <= 5; ++seed)
@@ -105,13 +102,13 @@
             const auto end = simulate_start(nodes, seed, true);
             CAPTURE(nodes, seed, end.calls_a_node, end.all_written_s);
             CHECK(end.calls_a_node <= 3);
-            // Three times what the part needs, and what one refusal costs.
+            // Three times what the partition needs, and the delay of a refusal.
             CHECK(end.all_written_s <=
                   8 + 3 * static_cast<double>(nodes) / part_per_s);
         }
 }
 
-TEST_CASE("new hosts that know of the others write once")
+TEST_CASE("new nodes that know the others write once")
 {
     for (const std::size_t nodes : {75U, 985U, 2'700U})
     {
@@ -121,7 +118,7 @@
     }
 }
 
-TEST_CASE("a part with room is written at once again after a refusal")
+TEST_CASE("an accepted write resets the delays after refusals")
 {
     random_source random(1);
     write_pace pace(part_per_s);
@@ -133,6 +130,6 @@
         CHECK(pace.delay_after_refusal(10, random) <= std::chrono::seconds(4));
         pace.accepted();
     }
-    // One node more or less in a small mesh makes no difference to anyone.
+    // A node that joins a small mesh writes with little delay.
     CHECK(pace.initial_delay(13, random) <= milliseconds(200));
 }
