--- a/include/tillerhall/distribution/circuit_breaker.hpp
+++ b/include/tillerhall/distribution/circuit_breaker.hpp
@@ -1,4 +1,4 @@
-/** @file Stops asking a source that fails, and tries it now and then. */
+/** @file Circuit breaker for a source that fails. */
 #pragma once
 
 #include "tillerhall/core/backoff.hpp"
@@ -6,15 +6,15 @@
 namespace tillerhall
 {
 
-/** Timing of a circuit breaker. */
+/** Thresholds of a circuit breaker. */
 struct breaker_limits
 {
-    unsigned failures_to_open = 3;
+    unsigned failures_to_open = 3; ///< in a row
     duration least_open = std::chrono::seconds(1);
     duration most_open = std::chrono::seconds(15);
 };
 
-/** Opens after failures in a row; open times grow with jitter. Pure. */
+/** Opens after consecutive failures; open times grow, with jitter. Pure. */
 class circuit_breaker
 {
 public:
@@ -24,13 +24,13 @@
     {
     }
 
-    /** @return whether the source may be asked at @p now. */
+    /** Returns true if the source may be asked at @p now. */
     bool allows(time_point now) const noexcept { return now >= m_open_until; }
 
-    /** @return whether this success closed an open breaker. */
+    /** Notes a success. @return true if it closed an open breaker. */
     bool succeeded() noexcept;
 
-    /** @return whether this failure opened the breaker. */
+    /** Notes a failure. @return true if it opened the breaker. */
     bool failed(time_point now, random_source& random) noexcept;
 
     bool is_open() const noexcept
