--- a/include/tillerhall/distribution/key_range.hpp
+++ b/include/tillerhall/distribution/key_range.hpp
@@ -1,4 +1,4 @@
-/** @file Ranges of member keys, and how a broadcast splits them. */
+/** @file Key ranges of members, and their split for a broadcast. */
 #pragma once
 
 #include "tillerhall/core/random.hpp"
@@ -11,7 +11,7 @@
 namespace tillerhall
 {
 
-/** Keys from `least` to `most`, both included. */
+/** A range of keys, both ends included. */
 struct key_range
 {
     std::uint64_t least = 0;
@@ -24,7 +24,7 @@
     bool operator==(const key_range&) const = default;
 };
 
-/** A part of a broadcast and the members that may take charge of it. */
+/** A part of a broadcast and the members to which it may be sent. */
 struct range_part
 {
     key_range range;
@@ -33,30 +33,31 @@
 };
 
 /**
- * Splits @p range, without this node, into at most @p fanout parts of
- * roughly equal membership. The parts cover the whole range, so members that
- * this node has not heard of still belong to a part, and no member belongs
- * to two. (Broadcast by range, after El-Ansary et al., IPTPS 2003.)
+ * Splits @p range, without this node, into at most @p fanout parts of roughly
+ * equal membership. The parts are disjoint and cover the whole range, so a
+ * member that this node does not know still belongs to exactly one part.
+ * (Broadcast by range, after El-Ansary et al., IPTPS 2003.)
  */
 std::vector<range_part> split_range(const key_range& range,
                                     const member_list& members,
                                     std::size_t fanout,
                                     random_source& random);
 
-/** @return the keys of all members of @p of 's failure domain. */
+/** Returns the range of the keys in the failure domain of @p of. */
 key_range domain_range(const member& of);
 
 /**
- * @return whether @p range was meant for this node. One that does not hold
- * its key came by another address of it; passing it on would send it round
- * for ever, while a range that holds the key always shrinks.
+ * Returns true if @p range contains the key of this node. Otherwise the message
+ * arrived by another address of this node; forwarding it could loop for ever,
+ * while a range that contains the key always shrinks.
  */
 bool is_meant_for(const member& self, const key_range& range);
 
-/** Writes the range as two hexadecimal members, "lo" and "hi". */
+/** Adds the range as hexadecimal members "lo" and "hi"; nothing for the full
+ * range. */
 void put_range(boost::json::object& into, const key_range& range);
 
-/** Reads what `put_range` wrote; the whole range if it is absent. */
+/** Reads what `put_range` wrote. Throws std::exception on a bad message. */
 key_range range_from_json(const boost::json::object& members);
 
 } // namespace tillerhall
--- a/src/distribution/key_range.cpp
+++ b/src/distribution/key_range.cpp
@@ -12,10 +12,10 @@
 namespace
 {
 
-// A part is offered to this many members before it is given up.
+// Members to which a part is offered before it is given up.
 constexpr std::size_t most_candidates = 3;
 
-/** @return the live members in @p range but this node, in order of key. */
+/** Returns the live members in @p range without this node, ordered by key. */
 std::vector<const keyed_member*> members_in(const key_range& range,
                                             const member_list& members)
 {
@@ -30,7 +30,7 @@
     return inside;
 }
 
-/** @return up to three of the group, this node's own domain first. */
+/** Returns random candidates of the group, this node's domain first. */
 std::vector<address> choose(std::span<const keyed_member* const> group,
                             const member& self,
                             random_source& random)
@@ -55,7 +55,7 @@
     return each->key;
 }
 
-/** Cuts @p inside into equal groups, none of which straddles @p own_key. */
+/** Splits @p inside into equal groups, and these at @p own_key. */
 std::vector<member_group>
 group(member_group inside, std::size_t fanout, std::uint64_t own_key)
 {
@@ -76,7 +76,7 @@
     return groups;
 }
 
-/** Cuts @p own_key off @p range, which all of @p kept lies on one side of. */
+/** Removes @p own_key from @p range; all of @p kept is on one side of it. */
 void exclude(std::uint64_t own_key, member_group kept, key_range& range)
 {
     if (!range.contains(own_key))
