--- a/include/tillerhall/distribution/reader_choice.hpp
+++ b/include/tillerhall/distribution/reader_choice.hpp
@@ -1,4 +1,4 @@
-/** @file Which nodes read the source, chosen without agreement. */
+/** @file Selection of the nodes that read the source, without consensus. */
 #pragma once
 
 #include "tillerhall/membership/member_list.hpp"
@@ -7,19 +7,19 @@
 {
 
 /**
- * @return how many live members of this node's failure domain are better
- * readers: those whose links carry more, and of equals those with the greater
- * rendezvous weight (Thaler and Ravishankar, 1998).
+ * Returns the number of live members of this node's failure domain that rank
+ * before it as readers: those with a faster link and, among equals, with a
+ * greater rendezvous weight (Thaler and Ravishankar, 1998).
  */
 std::size_t reader_rank(const member_list& members);
 
-/** @return the best reader of each failure domain, by place. */
+/** Returns the best reader of each failure domain, ordered by place. */
 std::vector<address> best_readers(const member_list& members);
 
 /**
- * @return whether this node is among the @p per_domain best readers of its
- * failure domain. Lists that differ make one reader more or less, which costs
- * reads but no promise.
+ * Returns true if this node is among the @p per_domain best readers of its
+ * failure domain. Differing member lists only change the number of readers for
+ * a time.
  */
 bool is_reader(const member_list& members, std::size_t per_domain);
 
