--- a/include/tillerhall/distribution/source_freshness.hpp
+++ b/include/tillerhall/distribution/source_freshness.hpp
@@ -1,4 +1,4 @@
-/** @file How long ago anyone is known to have read the source. */
+/** @file Time since the newest known read of the source by any node. */
 #pragma once
 
 #include "tillerhall/core/time.hpp"
@@ -10,14 +10,14 @@
 namespace tillerhall
 {
 
-/** The newest read of the source that this node made or heard of. Pure. */
+/** The newest read of the source by this node or a peer. Pure. */
 class source_freshness
 {
 public:
-    /** Notes a read of this node's own. */
+    /** Notes a read by this node. */
     void note_read(time_point now) noexcept { m_last = now; }
 
-    /** Notes a peer's word, milliseconds; negative means none. */
+    /** Notes a read that a peer reported, @p age_ms ago; negative is none. */
     void heard(std::int64_t age_ms, time_point now) noexcept
     {
         if (age_ms < 0)
@@ -26,7 +26,7 @@
         m_last = m_last ? std::max(*m_last, then) : then;
     }
 
-    /** @return milliseconds since that read, -1 if there was none. */
+    /** Returns the milliseconds since that read, -1 if there was none. */
     std::int64_t age_ms(time_point now) const noexcept
     {
         return m_last ? to_ms(now - *m_last) : -1;
