--- a/include/tillerhall/distribution/strategy.hpp
+++ b/include/tillerhall/distribution/strategy.hpp
@@ -1,4 +1,4 @@
-/** @file The ways a new version can reach every node, to choose from. */
+/** @file Strategies by which a new version reaches every node. */
 #pragma once
 
 #include "tillerhall/distribution/key_range.hpp"
@@ -11,15 +11,15 @@
 namespace tillerhall
 {
 
-/** How a node asks the source by itself. */
+/** How every node polls the source. */
 enum class source_polling
 {
-    none,           ///< only as a chosen reader
-    head_each_node, ///< every node reads the head, the table on change
-    whole_each_node ///< every node reads the whole table each time
+    none,           ///< only the readers poll
+    head_each_node, ///< polls the head, reads the table on change
+    whole_each_node ///< reads the whole table each time
 };
 
-/** One way of distribution. Stateless; one object of each kind exists. */
+/** A distribution strategy. Stateless; one object of each kind exists. */
 class distribution_strategy
 {
 public:
@@ -28,15 +28,15 @@
     virtual std::string_view name() const noexcept = 0;
     virtual std::string_view description() const noexcept = 0;
 
-    /** @return how every node polls the source. */
     virtual source_polling polling() const noexcept = 0;
 
-    /** @return whether nodes pull when a heartbeat shows a newer version. */
+    /** Returns true if nodes pull when a heartbeat shows a newer version. */
     virtual bool pulls_from_peers() const noexcept = 0;
 
     /**
-     * @param range what this node is in charge of
-     * @return whom to send a version that is new here, and their ranges.
+     * Returns the members to which a version that is new here is sent, and
+     * their ranges.
+     * @param range the range that this node is responsible for
      */
     virtual std::vector<range_part> deliveries(const key_range& range,
                                                const member_list& members,
@@ -44,10 +44,10 @@
                                                random_source& random) const = 0;
 };
 
-/** @return every strategy; the first is the default. */
+/** Returns all strategies; the first is the default. */
 std::span<const distribution_strategy* const> strategies() noexcept;
 
-/** @return the strategy called @p name, or unknown_name listing all. */
+/** Returns the strategy called @p name, or unknown_name with all names. */
 result<const distribution_strategy*> find_strategy(std::string_view name);
 
 } // namespace tillerhall
--- a/src/distribution/strategy.cpp
+++ b/src/distribution/strategy.cpp
@@ -10,7 +10,7 @@
 
 using parts = std::vector<range_part>;
 
-/** Pushes along a tree over the member list; see key_range.hpp. */
+/** Pushes along a tree over the key ranges of the members. */
 class tree_strategy : public distribution_strategy
 {
 public:
@@ -33,7 +33,7 @@
     }
 };
 
-/** Pushes to random members on first hearing (Demers et al., PODC 1987). */
+/** Pushes to random members on first receipt (Demers et al., PODC 1987). */
 class epidemic_strategy : public distribution_strategy
 {
 public:
@@ -65,7 +65,7 @@
     }
 };
 
-/** Nothing is pushed; see the name of each for where versions come from. */
+/** Pushes nothing; versions come from the source or from peers. */
 class pull_strategy : public distribution_strategy
 {
 public:
