--- a/include/tillerhall/distribution/table_update.hpp
+++ b/include/tillerhall/distribution/table_update.hpp
@@ -1,4 +1,4 @@
-/** @file A version on its way: a delta from its parent, or the whole table. */
+/** @file A version in transit: a delta from its parent, or the whole table. */
 #pragma once
 
 #include "tillerhall/table/delta.hpp"
@@ -10,21 +10,20 @@
 namespace tillerhall
 {
 
-/** One version as it travels between nodes. */
+/** A version as it is sent between nodes. */
 struct table_update
 {
     std::uint64_t version = 0;
-    std::string digest;        ///< of the resulting table
-    std::string parent_digest; ///< of version - 1, when a delta
-    std::int64_t accepted_us = 0;
+    std::string digest;           ///< of the resulting table
+    std::string parent_digest;    ///< of version - 1, for a delta
+    std::int64_t accepted_us = 0; ///< wall clock at the accept
     std::optional<table_delta> changes;
     std::optional<std::string> whole; ///< canonical CSV
 };
 
-/** @return the compact JSON form. */
 boost::json::object to_json(const table_update& sent);
 
-/** Reads the compact JSON form. */
+/** Returns the update, or protocol_error if it is malformed. */
 result<table_update> update_from_json(const boost::json::object& members);
 
 } // namespace tillerhall
