--- a/include/tillerhall/distribution/table_view.hpp
+++ b/include/tillerhall/distribution/table_view.hpp
@@ -11,7 +11,7 @@
 namespace tillerhall
 {
 
-/** A version, its digest and its rows; shared by counted reference. */
+/** A version, its digest and its rows; reference-counted. */
 class table_view : public boost::intrusive_ref_counter<table_view>
 {
 public:
@@ -27,11 +27,11 @@
     {
     }
 
-    /** @return the version; 0 before any table is known. */
+    /** Returns the version; 0 before any table is known. */
     std::uint64_t version() const noexcept { return m_version; }
     const std::string& digest() const noexcept { return m_digest; }
     const config_table& table() const noexcept { return m_table; }
-    /** @return the accepter's wall clock at the accept, microseconds. */
+    /** Returns the wall clock of the accepting node, in microseconds. */
     std::int64_t accepted_us() const noexcept { return m_accepted_us; }
 
 private:
