--- a/include/tillerhall/distribution/update_log.hpp
+++ b/include/tillerhall/distribution/update_log.hpp
@@ -1,4 +1,4 @@
-/** @file The last updates a node applied, kept to serve them to peers. */
+/** @file The last updates that a node applied, for peers that pull. */
 #pragma once
 
 #include "tillerhall/distribution/table_update.hpp"
@@ -10,19 +10,20 @@
 namespace tillerhall
 {
 
-/** A bounded run of consecutive deltas up to the current version. */
+/** A bounded sequence of consecutive deltas up to the current version. */
 class update_log
 {
 public:
     static constexpr std::size_t most_kept = 256;
 
-    /** Adds the delta that led to its version; a gap starts a new run. */
+    /** Appends a delta; a gap in the versions discards the earlier ones. */
     void add(const table_update& update);
 
-    /** Forgets everything, after a jump by a whole table. */
+    /** Discards all deltas, after a whole table was applied. */
     void clear() { m_updates.clear(); }
 
-    /** @return the deltas from @p version + 1 up, if all are still kept. */
+    /** Returns the deltas after @p version, or nothing if some are not kept or
+     * there are none. */
     std::optional<std::vector<table_update>> since(std::uint64_t version) const;
 
 private:
