--- a/include/tillerhall/distribution/version_gate.hpp
+++ b/include/tillerhall/distribution/version_gate.hpp
@@ -1,4 +1,4 @@
-/** @file Decides whether a version that arrives may replace the current one. */
+/** @file Decides whether an arriving version replaces the current one. */
 #pragma once
 
 #include "tillerhall/distribution/table_update.hpp"
@@ -11,52 +11,53 @@
 namespace tillerhall
 {
 
-/** What the gate did with an update. */
+/** What was done with an update. */
 enum class gate_decision
 {
-    applied,        ///< the current view is now a newer one
+    applied,        ///< it is now the current version
     old,            ///< not newer than the current version; dropped
-    missing_parent, ///< held until the versions before it come
-    waiting_names,  ///< held until its services and places are known
-    corrupt,        ///< the result does not match the digest; dropped
-    too_far         ///< no room to hold it; dropped, to be pulled later
+    missing_parent, ///< held until the preceding versions arrive
+    waiting_names,  ///< held until its names are known
+    corrupt,        ///< does not match its digest; dropped
+    too_far         ///< no room to hold it; to be pulled later
 };
 
 std::string_view name_of(gate_decision decision) noexcept;
 
 /**
- * The only way to a newer table on a node. The invariants, whatever arrives
- * in whatever order: the version never goes down; the table is always one
- * whole version whose digest was checked; every service and place it names
- * was known when it was taken. Pure.
+ * The only way to a newer table on a node. Invariants for updates in any order:
+ * the version never decreases; the table is always one complete version with a
+ * verified digest; all services and places that it names were known when it was
+ * applied. Pure.
  */
 class version_gate
 {
 public:
     static constexpr std::size_t most_held = 32;
 
-    /** @return whether every service and place of a table is known. */
+    /** Returns true if every service and place of a table is known. */
     using names_known = std::function<bool(const config_table&)>;
 
-    /** Called after each swap with the view before and the new one. */
+    /** Called after each swap with the previous and the new view. */
     using on_applied =
         std::function<void(const table_view& before, const table_view& after)>;
 
     explicit version_gate(names_known known, on_applied applied = {});
 
-    /** Offers an update that arrived; later held ones may follow it. */
+    /** Processes an update, and held ones that it makes applicable. */
     gate_decision offer(const table_update& update);
 
-    /** Tries the held ones again, after members became known. */
+    /** Retries held updates, after members became known.
+     * @return true if any was applied */
     bool retry_held();
 
-    /** @return the current view, version 0 at first; never null. */
+    /** Returns the current view, of version 0 at first; never null. */
     const table_view_ptr& current() const noexcept { return m_current; }
 
-    /** @return the greatest version seen in an update, held ones included. */
+    /** Returns the greatest version that is known to exist. */
     std::uint64_t greatest_seen() const noexcept { return m_greatest_seen; }
 
-    /** Takes note that @p version exists, without its contents. */
+    /** Notes that @p version exists. */
     void saw(std::uint64_t version) noexcept;
 
     std::size_t held() const noexcept { return m_held.size(); }
--- a/src/distribution/version_gate.cpp
+++ b/src/distribution/version_gate.cpp
@@ -43,7 +43,7 @@
     while (again)
     {
         again = false;
-        // Newest first: a whole table makes the ones below it needless.
+        // Newest first: a whole table supersedes the versions below it.
         for (auto held = m_held.rbegin(); held != m_held.rend(); ++held)
         {
             const auto update = held->second;
@@ -75,8 +75,8 @@
             return gate_decision::corrupt;
         return take(update, std::move(outcome.parsed.table));
     }
-    // Only the very next version fits; equal digests alone could skip one
-    // that this node has not judged.
+    // Only the next version is applicable; a matching parent digest alone could
+    // skip a version that this node has not checked.
     if (update.version != m_current->version() + 1)
         return gate_decision::missing_parent;
     if (m_current->version() != 0 &&
@@ -106,11 +106,11 @@
 void version_gate::hold(const table_update& update)
 {
     auto& held = m_held[update.version];
-    if (!held.whole) // a whole table is worth more than a delta
+    if (!held.whole) // a whole table is kept in favour of a delta
         held = update;
     while (m_held.size() > most_held)
     {
-        // The lowest is needed first; what lies farthest ahead is pulled.
+        // The lowest is needed first; the highest can be pulled later.
         const auto farthest = std::prev(m_held.end());
         m_held.erase(farthest);
     }
--- a/tests/unit/version_gate.cpp
+++ b/tests/unit/version_gate.cpp
@@ -36,7 +36,7 @@
 
 } // namespace
 
-TEST_CASE("in any order, with losses and repeats, the gate goes up only, whole")
+TEST_CASE("versions never decrease and tables are complete, whatever arrives")
 {
     rc::prop("gate against the history",
              [](const std::vector<config_table>& accepted,
@@ -57,7 +57,7 @@
                      last = gate.current()->version();
                      RC_ASSERT(gate.current()->table() == past.tables[last]);
                  }
-                 // Whatever was lost, the newest whole table brings it up.
+                 // The newest whole table makes up for any loss.
                  gate.offer(past.wholes.back());
                  RC_ASSERT(gate.current()->version() == past.tables.size() - 1);
              });
@@ -100,7 +100,7 @@
     CHECK(gate.held() == 0);
 }
 
-TEST_CASE("what comes early is held within a bound")
+TEST_CASE("the number of held updates is bounded")
 {
     history past;
     for (std::size_t i = 0; i < 2 * version_gate::most_held; ++i)
@@ -120,7 +120,7 @@
     CHECK(gate.held() == 0);
 }
 
-TEST_CASE("the log gives the deltas since a version, or none")
+TEST_CASE("the update log returns all deltas since a version, or none")
 {
     update_log log;
     for (std::uint64_t version = 5; version <= 8; ++version)
