--- a/tests/unit/key_range.cpp
+++ b/tests/unit/key_range.cpp
@@ -29,7 +29,8 @@
     return list;
 }
 
-/** @return how often each node got a broadcast from node 1, and the depth. */
+/** Returns how often each node received a broadcast of node 1.
+ * @param depth set to the depth of the tree */
 std::map<address, int>
 broadcast(std::uint16_t count, std::size_t fanout, int& depth)
 {
@@ -58,7 +59,7 @@
 
 } // namespace
 
-TEST_CASE("a broadcast reaches every member exactly once, in few steps")
+TEST_CASE("a broadcast reaches every member exactly once, in few hops")
 {
     for (const std::size_t fanout : {2U, 4U, 8U})
     {
@@ -71,7 +72,7 @@
     }
 }
 
-TEST_CASE("parts are disjoint, and only this node's own key is in none")
+TEST_CASE("parts are disjoint and cover all keys but this node's own")
 {
     rc::prop(
         "cover",
@@ -98,7 +99,7 @@
         });
 }
 
-TEST_CASE("a range survives the wire")
+TEST_CASE("a range survives a round trip through JSON")
 {
     rc::prop("round trip",
              [](std::uint64_t first, std::uint64_t second)
@@ -112,7 +113,7 @@
     CHECK_THROWS(range_from_json({{"lo", "x"}}));
 }
 
-TEST_CASE("a range that came by another address is not this node's")
+TEST_CASE("a range without the key of this node is not meant for it")
 {
     const auto self = make_member(1);
     const auto key = key_of(self);
