--- a/tests/integration/mesh_readers.cpp
+++ b/tests/integration/mesh_readers.cpp
@@ -17,28 +17,28 @@
     {
         configure(1, first_routes);
         start();
-        REQUIRE(wait_until([&] { return relying() == 3; }));
+        REQUIRE(wait_until([&] { return listening() == 3; }));
     }
 
     /** @return the node's own word: "rely", "follow" or "speak". */
-    std::string duty_of(mesh_host& host)
+    std::string role_of(mesh_host& host)
     {
         const auto metrics = metrics_of(host);
-        for (const std::string duty : {"rely", "follow", "speak"})
-            if (metrics.find("tillerhall_store_duty{duty=\"" + duty +
+        for (const std::string role : {"rely", "follow", "speak"})
+            if (metrics.find("tillerhall_store_duty{duty=\"" + role +
                              "\"} 1") != std::string::npos)
-                return duty;
+                return role;
         return "";
     }
 
-    long relying()
+    long listening()
     {
         return std::ranges::count_if(hosts(), [&](mesh_host& each)
-                                     { return duty_of(each) == "rely"; });
+                                     { return role_of(each) == "rely"; });
     }
 
     /** @return whether @p host has a route of @p path in force. */
-    bool knows(mesh_host& host, const std::string& path)
+    bool has_route(mesh_host& host, const std::string& path)
     {
         const auto status = call(host, "k", path).status;
         return status != 404 && status != 0;
@@ -51,12 +51,12 @@
         configure(version, m_routes);
     }
 
-    /** @return the reader of domain @p domain and the host beside it. */
+    /** @return the reader of domain @p domain and the host neighbour it. */
     std::pair<mesh_host*, mesh_host*> pair_of(std::size_t domain)
     {
         auto* first = &hosts()[domain];
         auto* second = &hosts()[domain + 3];
-        if (duty_of(*first) == "rely")
+        if (role_of(*first) == "rely")
             std::swap(first, second);
         return {first, second};
     }
@@ -79,7 +79,8 @@
                 system.add_route(version, name);
                 for (auto& each : system.hosts())
                     CHECK(system.wait_until(
-                        [&] { return system.knows(each, "/" + name + "/x"); }));
+                        [&]
+                        { return system.has_route(each, "/" + name + "/x"); }));
             }
         });
 }
@@ -95,7 +96,7 @@
             constexpr std::uint64_t followed = 3 * 4;
             CHECK(system.store().calls_on("members") <= 6 * 3 + followed);
             for (auto& each : system.hosts())
-                CHECK(system.duty_of(each) != "follow");
+                CHECK(system.role_of(each) != "follow");
         });
 }
 
@@ -105,17 +106,17 @@
         [](worker& on)
         {
             three_domains system(on);
-            const auto [reader, beside] = system.pair_of(1);
+            const auto [reader, neighbour] = system.pair_of(1);
             reader->node.send(SIGSTOP);
             system.add_route(2, "new");
             CHECK(system.wait_until(
-                [&] { return system.knows(*beside, "/new/x"); }));
+                [&] { return system.has_route(*neighbour, "/new/x"); }));
             CHECK(system.wait_until(
-                [&] { return system.duty_of(*beside) == "speak"; }));
+                [&] { return system.role_of(*neighbour) == "speak"; }));
             reader->node.send(SIGCONT);
-            CHECK(system.wait_until([&] { return system.relying() == 3; }));
+            CHECK(system.wait_until([&] { return system.listening() == 3; }));
             CHECK(system.wait_until(
-                [&] { return system.knows(*reader, "/new/x"); }));
+                [&] { return system.has_route(*reader, "/new/x"); }));
         });
 }
 
@@ -125,15 +126,15 @@
         [](worker& on)
         {
             three_domains system(on);
-            const auto [reader, beside] = system.pair_of(0);
+            const auto [reader, neighbour] = system.pair_of(0);
             reader->node.kill();
             system.add_route(2, "new");
             CHECK(system.wait_until(
-                [&] { return system.knows(*beside, "/new/x"); }));
+                [&] { return system.has_route(*neighbour, "/new/x"); }));
             system.start_node(*reader);
             CHECK(system.wait_until(
-                [&] { return system.knows(*reader, "/new/x"); }));
-            CHECK(system.wait_until([&] { return system.relying() == 3; }));
+                [&] { return system.has_route(*reader, "/new/x"); }));
+            CHECK(system.wait_until([&] { return system.listening() == 3; }));
         });
 }
 
@@ -144,13 +145,13 @@
         {
             three_domains system(on);
             system.store().faults().down = true;
-            CHECK(system.wait_until([&] { return system.relying() == 0; }));
+            CHECK(system.wait_until([&] { return system.listening() == 0; }));
             system.add_route(2, "new");
             system.store().faults().down = false;
             for (auto& each : system.hosts())
                 CHECK(system.wait_until(
-                    [&] { return system.knows(each, "/new/x"); }));
-            CHECK(system.wait_until([&] { return system.relying() == 3; }));
+                    [&] { return system.has_route(each, "/new/x"); }));
+            CHECK(system.wait_until([&] { return system.listening() == 3; }));
         });
 }
 
