--- a/tests/integration/distribution.cpp
+++ b/tests/integration/distribution.cpp
@@ -29,7 +29,7 @@
     return options;
 }
 
-boost::json::object rule(const std::string& from, const std::string& to)
+boost::json::object cut_link(const std::string& from, const std::string& to)
 {
     return {{"from", from}, {"to", to}, {"cut", true}};
 }
@@ -64,10 +64,10 @@
 }
 
 /** Passes connections on to an address, so that it has a second one. */
-class listener_relay
+class address_alias
 {
 public:
-    listener_relay(worker& on, const address& to)
+    address_alias(worker& on, const address& to)
         : m_listener(std::move(*listener::open(on, {to.ip, 0})))
     {
         m_listener->start([&on, to](tcp_stream& near) { pass(on, near, to); });
@@ -114,10 +114,11 @@
             options.with_faultproxy = true;
             started_cluster system(on, options);
             // Nodes 0, 1, 2 are in the first domain, 127.0.1.*.
-            system.set_rules(
-                {rule("127.0.1.", "127.0.2."), rule("127.0.1.", "127.0.3."),
-                 rule("127.0.1.", "127.0.0."), rule("127.0.2.", "127.0.1."),
-                 rule("127.0.3.", "127.0.1.")});
+            system.set_rules({cut_link("127.0.1.", "127.0.2."),
+                              cut_link("127.0.1.", "127.0.3."),
+                              cut_link("127.0.1.", "127.0.0."),
+                              cut_link("127.0.2.", "127.0.1."),
+                              cut_link("127.0.3.", "127.0.1.")});
             const auto accepted =
                 system.accept(3, with_weight(system.csv(), 77), 1, "cut");
             REQUIRE(accepted);
@@ -233,16 +234,17 @@
         {
             started_cluster system(on, small(6));
             const auto& real = system.nodes()[0];
-            const listener_relay relay(on, real.rpc);
-            member ghost;
-            ghost.rpc = relay.local();
-            ghost.peer = ghost.caller = ghost.operators = ghost.rpc;
-            ghost.place = {"nl-west", "polder-a"};
-            ghost.service = "perceel";
-            ghost.target = real.target;
-            ghost.incarnation = 1;
+            const address_alias relay(on, real.rpc);
+            member alias_record;
+            alias_record.rpc = relay.local();
+            alias_record.peer = alias_record.caller = alias_record.operators =
+                alias_record.rpc;
+            alias_record.place = {"nl-west", "polder-a"};
+            alias_record.service = "perceel";
+            alias_record.target = real.target;
+            alias_record.incarnation = 1;
             REQUIRE(send(on, system.nodes()[1].rpc, method::join,
-                         {{"r", to_json(ghost)}}));
+                         {{"r", to_json(alias_record)}}));
             CHECK(system.wait_until(
                 [&]
                 {
