--- a/tests/integration/drained_domains.cpp
+++ b/tests/integration/drained_domains.cpp
@@ -1,8 +1,7 @@
-/** @file Failure domains drained by order, and targets that are cold.
+/** @file Drained failure domains and cold targets.
  *
- * The story: no order to drain a domain was read, and 16,567 calls of a day
- * reached targets that were to get none; targets that came back cold got what
- * warm ones bear. */
+ * Guards against calls to targets of a drained domain and against calls to cold
+ * targets above their rate. */
 #include "mesh_system.hpp"
 
 using namespace tillerhall;
@@ -37,7 +36,8 @@
                 [&] { return call(from, "w", "/fields/w").status == 200; }));
     }
 
-    /** Calls through all hosts. @return how many got an answer. */
+    /** Calls through all hosts. @return the number of answers with status 200.
+     */
     int call_all(const std::string& prefix, int rounds)
     {
         int good = 0;
@@ -66,18 +66,20 @@
 
 } // namespace
 
-TEST_CASE("a drained domain's targets get nothing until the order is gone")
+TEST_CASE("targets of a drained domain get no calls until the order is removed")
 {
     on_worker(
         [](worker& on)
         {
             drained_system system(on);
             system.store().put("op", "", "evacuate/d1", "{}");
-            // The bound is 5 s; ours is the time of a change of routes.
+            // Required within 5 s; a drain takes effect like a change of
+            // routes.
             sleep_for(on.io(), std::chrono::seconds(2));
             CHECK(system.call_all("a-", 8) == 48);
             CHECK(system.runs_in("d1", "a-") == 0);
-            // Its nodes stay entries, and a restarted one knows the order.
+            // Its nodes remain entries, and a restarted one learns of the
+            // order.
             auto& host = system.hosts()[1];
             REQUIRE(host.domain == "d1");
             host.node.kill();
@@ -86,7 +88,7 @@
             host.target->report(host.at["operators"], "ready");
             CHECK(system.call_all("b-", 4) == 24);
             CHECK(system.runs_in("d1", "b-") == 0);
-            // Orders for what is not there change nothing.
+            // Orders for unknown domains have no effect.
             system.store().put("op", "", "evacuate/nowhere", "no JSON");
             system.store().remove("op", "", "evacuate/d1");
             for (auto& each : system.hosts())
@@ -100,7 +102,7 @@
         });
 }
 
-TEST_CASE("a drained domain stays drained when its readers and the store fail")
+TEST_CASE("a domain stays drained while its readers and the store are down")
 {
     on_worker(
         [](worker& on)
@@ -119,7 +121,7 @@
         });
 }
 
-TEST_CASE("targets that are cold get what they bear in any second")
+TEST_CASE("cold targets get no more calls than their rate in any second")
 {
     on_worker(
         [](worker& on)
@@ -144,12 +146,13 @@
                         times.push_back(each.begun);
                 ran += static_cast<int>(times.size());
                 for (std::size_t i = cold_per_s; i < times.size(); ++i)
-                    // A little less than a second: the way to the target.
+                    // A little less than a second, for the transit to the
+                    // target.
                     CHECK(times[i] - times[i - cold_per_s] >=
                           milliseconds(950));
             }
             CHECK(ran >= 6 * cold_per_s * 2);
-            // Warm again, they take all.
+            // Warm again, they take all calls.
             for (auto& each : system.hosts())
             {
                 each.target->set_cold_for(milliseconds(0));
