--- a/tests/integration/distribution.cpp
+++ b/tests/integration/distribution.cpp
@@ -1,4 +1,4 @@
-/** @file Versions on their way to nodes that fail, part and return. */
+/** @file Distribution of versions while nodes fail, are cut off and restart. */
 #include "system.hpp"
 
 #include "tillerhall/distribution/table_update.hpp"
@@ -46,7 +46,7 @@
         {node, traffic_kind::other, name, params, std::chrono::seconds(5)});
 }
 
-/** @return whether a node closed the connection after @p bytes. */
+/** Returns true if the node closes the connection after @p bytes. */
 bool closes_after(worker& on, const address& node, const std::string& bytes)
 {
     auto stream = connect_stream(on.io(), node, std::chrono::seconds(5));
@@ -63,7 +63,7 @@
            failed == boost::asio::error::broken_pipe;
 }
 
-/** Passes connections on to an address, so that it has a second one. */
+/** Forwards connections, which gives a node a second address. */
 class address_alias
 {
 public:
@@ -105,7 +105,7 @@
 
 } // namespace
 
-TEST_CASE("a domain cut off runs on and catches up when healed")
+TEST_CASE("a domain that is cut off keeps running and catches up afterwards")
 {
     on_worker(
         [](worker& on)
@@ -134,8 +134,8 @@
             CHECK(system.wait_until([&] { return others_at(2); }));
             for (std::size_t i = 0; i < 3; ++i)
                 CHECK(system.version(i) == 1);
-            // It is not claimed in force while the cut nodes are not found
-            // dead; afterwards the live members have it.
+            // The version counts as in force only once the cut nodes are found
+            // dead and all live members have it.
             CHECK(system.wait_until(
                 [&]
                 {
@@ -156,7 +156,7 @@
         });
 }
 
-TEST_CASE("half of the nodes killed and back at once come up at the head")
+TEST_CASE("half of the nodes, restarted at once, start with the newest version")
 {
     on_worker(
         [](worker& on)
@@ -174,7 +174,7 @@
         });
 }
 
-TEST_CASE("a restarted node serves nothing older than its peers remember")
+TEST_CASE("a restarted node serves no version older than that of its peers")
 {
     on_worker(
         [](worker& on)
@@ -184,7 +184,7 @@
             REQUIRE(system.wait_for_version(2));
             system.set_platform({{"down", true}});
             REQUIRE(system.restart(2));
-            // Ready only with version 2, though the source is down.
+            // It becomes ready only with version 2, though the source is down.
             CHECK(system.wait_until(
                 [&]
                 {
@@ -196,7 +196,7 @@
         });
 }
 
-TEST_CASE("old, corrupt and early updates sent to a node change nothing")
+TEST_CASE("old, corrupt and early updates have no effect")
 {
     on_worker(
         [](worker& on)
@@ -211,23 +211,23 @@
                 return send(on, node.rpc, method::push,
                             to_json(push_message{"127.0.0.1:1", update, {}}));
             };
-            // A replay of version 1, whole and sound, is old.
+            // A replay of the valid version 1 is old.
             CHECK(push({1, old_table.digest(), "", 0, std::nullopt,
                         write_csv(old_table)}));
-            // A next version whose digest does not fit is corrupt.
+            // The next version with a wrong digest is corrupt.
             CHECK(push({3, "00", "", 0, std::nullopt, write_csv(old_table)}));
-            // One far ahead is held, not applied.
+            // A version far ahead is held, not applied.
             CHECK(push({9, "00", "00", 0, table_delta{}, std::nullopt}));
             const auto status = system.status(3);
             CHECK(number(status, "version") == 2);
             CHECK(system.wait_until([&] { return system.version(3) == 2; }));
-            // It still takes the real next one.
+            // The node still applies the valid next version.
             REQUIRE(system.accept(0, with_weight(system.csv(), 6), 2, "y"));
             CHECK(system.wait_for_version(3));
         });
 }
 
-TEST_CASE("a node known by two addresses is found out and sends nothing round")
+TEST_CASE("a second address of a node is detected and causes no loop")
 {
     on_worker(
         [](worker& on)
@@ -258,7 +258,7 @@
         });
 }
 
-TEST_CASE("bad frames close their connection only, and are counted")
+TEST_CASE("a malformed frame closes only its connection and is counted")
 {
     on_worker(
         [](worker& on)
@@ -291,7 +291,7 @@
         });
 }
 
-TEST_CASE("a service comes and goes while its targets churn")
+TEST_CASE("a service is added and removed while its targets restart")
 {
     on_worker(
         [](worker& on)
@@ -313,7 +313,8 @@
             CHECK(number(*with, "http_status") == 200);
             CHECK(system.wait_for_version(2));
             system.nodes()[added].runs.kill();
-            // A route whose target is gone refuses; nobody goes back.
+            // A route without a target refuses; no node reverts to the old
+            // table.
             caller from(on.io(), system.nodes()[1].caller);
             CHECK(system.wait_until(
                 [&]
@@ -336,7 +337,7 @@
         });
 }
 
-TEST_CASE("a node that was paused learns the present before it takes calls")
+TEST_CASE("a node that was paused catches up before it takes calls")
 {
     on_worker(
         [](worker& on)
@@ -353,7 +354,7 @@
             REQUIRE(system.accept(0, with_weight(system.csv(), 5), 1, "x"));
             sleep_for(on.io(), std::chrono::seconds(3));
             paused.runs.send(SIGCONT);
-            // The first call after the pause finds it refusing or up to date.
+            // The first call after the pause is refused or finds it up to date.
             caller from(on.io(), paused.caller);
             const auto first = from.call({"perceel", "first"});
             CHECK((first.outcome == "not-run" || system.version(2) == 2));
