--- a/tests/integration/mesh_readers.cpp
+++ b/tests/integration/mesh_readers.cpp
@@ -1,4 +1,4 @@
-/** @file Readers of a failure domain, and nodes that rely on them. */
+/** @file Readers of failure domains, and the nodes that listen to them. */
 #include "mesh_system.hpp"
 
 using namespace tillerhall;
@@ -20,7 +20,8 @@
         REQUIRE(wait_until([&] { return listening() == 3; }));
     }
 
-    /** @return the node's own word: "rely", "follow" or "speak". */
+    /** Returns the role that the node's metrics show: "rely", "follow" or
+     * "speak". */
     std::string role_of(mesh_host& host)
     {
         const auto metrics = metrics_of(host);
@@ -37,7 +38,7 @@
                                      { return role_of(each) == "rely"; });
     }
 
-    /** @return whether @p host has a route of @p path in force. */
+    /** Returns true if @p host has a route for @p path in force. */
     bool has_route(mesh_host& host, const std::string& path)
     {
         const auto status = call(host, "k", path).status;
@@ -51,7 +52,7 @@
         configure(version, m_routes);
     }
 
-    /** @return the reader of domain @p domain and the host neighbour it. */
+    /** Returns the reader of domain @p domain and the domain's other host. */
     std::pair<mesh_host*, mesh_host*> pair_of(std::size_t domain)
     {
         auto* first = &hosts()[domain];
@@ -67,7 +68,7 @@
 
 } // namespace
 
-TEST_CASE("one node a domain asks the store and tells the others")
+TEST_CASE("one node per domain asks the store and updates the others")
 {
     on_worker(
         [](worker& on)
@@ -85,14 +86,15 @@
         });
 }
 
-TEST_CASE("a start reads the members' rows twice and writes its own once")
+TEST_CASE("a start reads the members' rows twice and writes its own row once")
 {
     on_worker(
         [](worker& on)
         {
             three_domains system(on);
             sleep_for(on.io(), std::chrono::seconds(6));
-            // Three readers also follow the rows, with a rest behind changes.
+            // The three readers also follow the rows, with a rest after
+            // changes.
             constexpr std::uint64_t followed = 3 * 4;
             CHECK(system.store().calls_on("members") <= 6 * 3 + followed);
             for (auto& each : system.hosts())
@@ -100,7 +102,7 @@
         });
 }
 
-TEST_CASE("a node whose reader falls silent asks the store itself")
+TEST_CASE("a node whose reader stops sending asks the store itself")
 {
     on_worker(
         [](worker& on)
@@ -120,7 +122,7 @@
         });
 }
 
-TEST_CASE("a killed reader is replaced, and takes its place after a restart")
+TEST_CASE("a killed reader is replaced and resumes its role after a restart")
 {
     on_worker(
         [](worker& on)
@@ -138,7 +140,7 @@
         });
 }
 
-TEST_CASE("with the store away nobody relies, and all is well after it")
+TEST_CASE("no node listens during a store outage, and all recover after it")
 {
     on_worker(
         [](worker& on)
@@ -155,12 +157,10 @@
         });
 }
 
-TEST_CASE("a start of all asks the store a few times a node")
+TEST_CASE("a start of all nodes costs few store calls per node")
 {
-    // The story: 985 nodes started at once, each wrote its row into a part that
-    // takes 150 writes a second, and their tries kept the part full for 33 s
-    // at 35 calls a start: writers left a second before their write was done,
-    // and those who were refused came back sooner than the part emptied.
+    // Guards against refused writes that are retried faster than the partition
+    // of the store drains.
     on_worker(
         [](worker& on)
         {
@@ -173,7 +173,7 @@
                 [&]
                 { return system.store().values("members").size() == nodes; },
                 std::chrono::seconds(30)));
-            // A read, three writes, one look at what changed, a reader's feed.
+            // A read, three writes, one read of the changes, a reader's feed.
             CHECK(system.store().calls_on("members") <= 6 * nodes);
             for (auto& each : system.hosts())
                 CHECK(system.call(each, "s", "/fields/x").status == 200);
