--- a/include/tillerhall/control/rollout_api.hpp
+++ b/include/tillerhall/control/rollout_api.hpp
@@ -27,7 +27,7 @@
     http_response post_order(const http_request& request);
     /** Orders the service's previous stable release. */
     http_response revert(const http_request& request);
-    http_response order(const rollout_order& wanted);
+    http_response submit(const rollout_order& wanted);
 
     rollout_book& m_book;
     rollout_decider& m_decider;
--- a/include/tillerhall/control/rollout_decider.hpp
+++ b/include/tillerhall/control/rollout_decider.hpp
@@ -33,7 +33,7 @@
     void start();
 
     /** Processes a report of this node or of another owner. */
-    void take(const owner_report& report);
+    void add_report(const owner_report& report);
 
     /** Returns state and evidence of each roll-out, for operators: of this node
      * or, if it receives no reports, of a node that does. */
@@ -49,7 +49,7 @@
         time_point last_report{};
         rollout_judge judge;
 
-        evaluation(const rollout_record& current, time_point now);
+        evaluation(const rollout_record& record, time_point now);
     };
 
     boost::json::array describe_own() const;
--- a/src/control/rollout_api.cpp
+++ b/src/control/rollout_api.cpp
@@ -79,7 +79,7 @@
 http_response rollout_api::post_order(const http_request& request)
 {
     const auto wanted = parse_order(request.body);
-    return wanted ? order(*wanted) : respond(wanted.reason());
+    return wanted ? submit(*wanted) : respond(wanted.reason());
 }
 
 http_response rollout_api::revert(const http_request& request)
@@ -94,10 +94,10 @@
                              "see tiller rollout"));
     auto back = known->order;
     back.release = known->settled;
-    return order(back);
+    return submit(back);
 }
 
-http_response rollout_api::order(const rollout_order& wanted)
+http_response rollout_api::submit(const rollout_order& wanted)
 {
     const auto given = m_keeper.store_order(wanted);
     if (!given)
--- a/src/control/rollout_book.cpp
+++ b/src/control/rollout_book.cpp
@@ -140,10 +140,10 @@
         auto& sole = m_sole_releases[service];
         if (sole.release != release)
             sole = {release, now};
-        auto& settled = m_stable[service];
-        if (settled == release || now < sole.since + stable_after)
+        auto& stable = m_stable[service];
+        if (stable == release || now < sole.since + stable_after)
             continue;
-        settled = release;
+        stable = release;
         changed = true;
     }
     if (changed)
--- a/src/control/rollout_decider.cpp
+++ b/src/control/rollout_decider.cpp
@@ -35,12 +35,12 @@
 
 } // namespace
 
-rollout_decider::evaluation::evaluation(const rollout_record& current,
+rollout_decider::evaluation::evaluation(const rollout_record& record,
                                         time_point now)
-    : revision(current.order.revision)
-    , stage(current.stage)
+    : revision(record.order.revision)
+    , stage(record.stage)
     , stage_begun(now)
-    , judge(current.settled, current.order.release)
+    , judge(record.settled, record.order.release)
 {
 }
 
@@ -60,7 +60,7 @@
     m_mesh.server.add(method::owner_report, traffic_kind::watch,
                       [this](const json::object& params) -> json::object
                       {
-                          take(owner_report_from_json(params));
+                          add_report(owner_report_from_json(params));
                           return {};
                       });
     m_mesh.server.add(method::rollout_account, traffic_kind::watch,
@@ -123,7 +123,7 @@
     return why;
 }
 
-void rollout_decider::take(const owner_report& report)
+void rollout_decider::add_report(const owner_report& report)
 {
     const auto* record = m_book.find(report.service);
     if (record == nullptr || record->state != rollout_state::running ||
@@ -163,9 +163,9 @@
     const auto now = steady_clock::now();
     if (!m_is_reader() && now > current.last_report + report_staleness_limit)
         return;
-    const auto wanted =
+    const auto canary_targets =
         owners_of(record.order.service, record.order.release).size();
-    if (current.judge.is_bad(wanted, now))
+    if (current.judge.is_bad(canary_targets, now))
         return roll_back(record, rollback_reason(current));
     advance(record, current);
 }
@@ -174,19 +174,19 @@
 {
     const auto now = steady_clock::now();
     const auto& service = record.order.service;
-    const auto settled = owners_of(service, record.settled);
-    const auto wanted = owners_of(service, record.order.release);
-    if (record.settled == record.order.release && !wanted.empty())
+    const auto stable_owners = owners_of(service, record.settled);
+    const auto canary_owners = owners_of(service, record.order.release);
+    if (record.settled == record.order.release && !canary_owners.empty())
     {
         m_keeper.complete(record); // the release is stable already
         return;
     }
-    const rollout_progress progress{.stage_begun = current.stage_begun,
-                                    .seen = current.judge.evidence(),
-                                    .settled_is_idle =
-                                        current.judge.is_idle(settled, now),
-                                    .settled_targets = settled.size(),
-                                    .wanted_targets = wanted.size()};
+    const rollout_progress progress{
+        .stage_begun = current.stage_begun,
+        .seen = current.judge.evidence(),
+        .settled_is_idle = current.judge.is_idle(stable_owners, now),
+        .settled_targets = stable_owners.size(),
+        .wanted_targets = canary_owners.size()};
     switch (next_move(record, progress, now))
     {
     case rollout_move::wait:
@@ -204,7 +204,7 @@
         m_keeper.complete(record);
         return;
     case rollout_move::give_up:
-        roll_back(record, wanted.empty()
+        roll_back(record, canary_owners.empty()
                               ? "no target of the release takes work"
                               : "too little ran at it to know that it is good");
     }
--- a/src/control/rollout_reporter.cpp
+++ b/src/control/rollout_reporter.cpp
@@ -116,7 +116,7 @@
     const auto params = to_json(report);
     for (const auto& reader : best_readers(m_mesh.members))
         if (reader == report.owner)
-            m_decider.take(report);
+            m_decider.add_report(report);
         else
             m_mesh.on.spawn(
                 [this, reader, params]
