--- a/include/tillerhall/control/drain_book.hpp
+++ b/include/tillerhall/control/drain_book.hpp
@@ -27,9 +27,9 @@
     using decoder =
         std::function<std::optional<std::string>(const stored_row&)>;
 
-    drain_book(mesh_state& mesh, decoder read)
+    drain_book(mesh_state& mesh, decoder decode)
         : m_mesh(mesh)
-        , m_read(std::move(read))
+        , m_decode(std::move(decode))
     {
     }
 
@@ -50,7 +50,7 @@
     void set(std::set<std::string> domains, std::uint64_t revision);
 
     mesh_state& m_mesh;
-    decoder m_read;
+    decoder m_decode;
     std::function<void(const domain_drains&)> m_on_change;
 };
 
--- a/src/control/drain_book.cpp
+++ b/src/control/drain_book.cpp
@@ -7,7 +7,7 @@
 
 void drain_book::rows_seen(const row_page& page, bool is_whole)
 {
-    if (!m_read)
+    if (!m_decode)
         return;
     const auto known = m_mesh.board.drains.get();
     if (page.revision < known->revision())
@@ -15,7 +15,7 @@
     auto domains = is_whole ? std::set<std::string>() : known->domains();
     for (const auto& row : page.rows)
     {
-        const auto domain = m_read(row);
+        const auto domain = m_decode(row);
         if (!domain)
             continue;
         if (row.removed)
