--- a/src/distribution/key_range.cpp
+++ b/src/distribution/key_range.cpp
@@ -31,9 +31,10 @@
 }
 
 /** Returns random candidates of the group, this node's domain first. */
-std::vector<address> choose(std::span<const keyed_member* const> group,
-                            const member& self,
-                            random_source& random)
+std::vector<address>
+choose_candidates(std::span<const keyed_member* const> group,
+                  const member& self,
+                  random_source& random)
 {
     std::vector<std::size_t> order(group.size());
     for (std::size_t i = 0; i < order.size(); ++i)
@@ -87,14 +88,14 @@
         range.most = own_key - 1;
 }
 
-std::string hex_of(std::uint64_t number)
+std::string to_hex(std::uint64_t number)
 {
     std::array<char, 16> digits{};
     const auto end = std::to_chars(digits.begin(), digits.end(), number, 16);
     return {digits.begin(), end.ptr};
 }
 
-std::uint64_t number_of(const boost::json::value& hex)
+std::uint64_t from_hex(const boost::json::value& hex)
 {
     const std::string_view text = hex.as_string();
     std::uint64_t number = 0;
@@ -126,7 +127,7 @@
         least = part.range.most + 1;
         exclude(own_key, groups[i], part.range);
         part.live_members = groups[i].size();
-        part.candidates = choose(groups[i], members.self(), random);
+        part.candidates = choose_candidates(groups[i], members.self(), random);
         parts.push_back(std::move(part));
     }
     return parts;
@@ -148,17 +149,17 @@
 {
     if (range == key_range{})
         return;
-    into["lo"] = hex_of(range.least);
-    into["hi"] = hex_of(range.most);
+    into["lo"] = to_hex(range.least);
+    into["hi"] = to_hex(range.most);
 }
 
 key_range range_from_json(const boost::json::object& members)
 {
     key_range range;
     if (const auto* least = members.if_contains("lo"))
-        range.least = number_of(*least);
+        range.least = from_hex(*least);
     if (const auto* most = members.if_contains("hi"))
-        range.most = number_of(*most);
+        range.most = from_hex(*most);
     return range;
 }
 
