--- a/include/tillerhall/control/directory_controller.hpp
+++ b/include/tillerhall/control/directory_controller.hpp
@@ -24,8 +24,8 @@
 /**
  * Each node stores its member record as one row and reads all rows when it
  * starts. Later changes are exchanged between the nodes; only readers keep
- * following the rows. The row is written when a persistent field changes
- * (addresses, departed targets, crashes), not with each change of the target's
+ * following the rows. The row is written when a persistent field changes (such
+ * as addresses and departed targets), not with each change of the target's
  * state. Each write is conditional on the previous revision, so a write that
  * the store applies late cannot undo a newer one. Runs on the first worker.
  */
--- a/include/tillerhall/control/quota_controller.hpp
+++ b/include/tillerhall/control/quota_controller.hpp
@@ -45,7 +45,7 @@
     add_counts(const std::vector<quota_counts>& counts);
     /** Copies the accounts of the version in force into the ledger. */
     void refresh_accounts();
-    /** Sends the limits to the domain's entries if accounts were added. */
+    /** Sends the limits to the domain's entries if one is new or much lower. */
     void broadcast_limits();
     void send_limits(const std::vector<quota_limit>& limits,
                      const key_range& range);
--- a/include/tillerhall/control/rollout_book.hpp
+++ b/include/tillerhall/control/rollout_book.hpp
@@ -67,7 +67,7 @@
 
     mesh_state& m_mesh;
     rollout_view::by_service m_records;
-    std::map<std::string, time_point> m_changed;         ///< by service
+    std::map<std::string, time_point> m_changed; ///< last change, by service
     std::map<std::string, sole_release> m_sole_releases; ///< by service
     rollout_view::releases m_stable;
     std::vector<std::function<void()>> m_on_change;
--- a/include/tillerhall/distribution/key_range.hpp
+++ b/include/tillerhall/distribution/key_range.hpp
@@ -57,7 +57,8 @@
  * range. */
 void put_range(boost::json::object& into, const key_range& range);
 
-/** Reads what `put_range` wrote. Throws std::exception on a bad message. */
+/** Reads what `put_range` wrote; the full range if it is absent. Throws
+ * std::exception on a bad message. */
 key_range range_from_json(const boost::json::object& members);
 
 } // namespace tillerhall
