--- a/src/control/route_controller.cpp
+++ b/src/control/route_controller.cpp
@@ -93,12 +93,12 @@
 {
     if (now == m_last_role)
         return;
-    const auto name = [](store_duty duty)
-    { return role_names[static_cast<std::size_t>(duty)]; };
-    const auto gauge = [&](store_duty duty) -> auto&
+    const auto name = [](store_duty role)
+    { return role_names[static_cast<std::size_t>(role)]; };
+    const auto gauge = [&](store_duty role) -> auto&
     {
         return m_mesh.board.metrics.get("tillerhall_store_duty",
-                                        "duty=\"" + std::string(name(duty)) +
+                                        "duty=\"" + std::string(name(role)) +
                                             "\"");
     };
     gauge(m_last_role).set(0);
