--- a/include/tillerhall/control/rollout_keeper.hpp
+++ b/include/tillerhall/control/rollout_keeper.hpp
@@ -23,7 +23,7 @@
     /** @param reads_for_others returns true if this node also writes states
      * that other nodes decided */
     rollout_keeper(mesh_state& mesh,
-                   rollout_book& book,
+                   rollout_book& registry,
                    row_store& store,
                    rollout_source source,
                    std::function<bool()> reads_for_others);
@@ -69,7 +69,7 @@
     void merge_stored(const rollout_record& read);
 
     mesh_state& m_mesh;
-    rollout_book& m_book;
+    rollout_book& m_registry;
     row_store& m_store;
     rollout_source m_source;
     std::function<bool()> m_reads_for_others;
--- a/include/tillerhall/control/rollout_reporter.hpp
+++ b/include/tillerhall/control/rollout_reporter.hpp
@@ -15,7 +15,7 @@
 {
 public:
     rollout_reporter(mesh_state& mesh,
-                     rollout_book& book,
+                     rollout_book& registry,
                      rollout_decider& decider,
                      const target_register& targets,
                      const target_owner& owner);
@@ -30,7 +30,7 @@
     void send(const owner_report& report);
 
     mesh_state& m_mesh;
-    rollout_book& m_book;
+    rollout_book& m_registry;
     rollout_decider& m_decider;
     const target_register& m_targets;
     const target_owner& m_owner;
--- a/src/control/rollout_api.cpp
+++ b/src/control/rollout_api.cpp
@@ -49,13 +49,13 @@
 
 } // namespace
 
-rollout_api::rollout_api(rollout_book& book,
+rollout_api::rollout_api(rollout_book& registry,
                          rollout_decider& decider,
-                         rollout_keeper& keeper,
+                         rollout_keeper& store_sync,
                          std::string token)
-    : m_book(book)
+    : m_registry(registry)
     , m_decider(decider)
-    , m_keeper(keeper)
+    , m_store_sync(store_sync)
     , m_token(std::move(token))
 {
 }
@@ -85,7 +85,7 @@
 http_response rollout_api::revert(const http_request& request)
 {
     const auto service = request.param("service");
-    const auto* known = m_book.find(service);
+    const auto* known = m_registry.find(service);
     if (known == nullptr || known->state != rollout_state::running ||
         known->settled.empty())
         return respond(error(error_code::conflict,
@@ -99,7 +99,7 @@
 
 http_response rollout_api::submit(const rollout_order& wanted)
 {
-    const auto given = m_keeper.store_order(wanted);
+    const auto given = m_store_sync.store_order(wanted);
     if (!given)
         return respond(given.reason());
     return respond(200, json::object{{"service", wanted.service},
--- a/src/control/rollout_decider.cpp
+++ b/src/control/rollout_decider.cpp
@@ -45,12 +45,12 @@
 }
 
 rollout_decider::rollout_decider(mesh_state& mesh,
-                                 rollout_book& book,
-                                 rollout_keeper& keeper,
+                                 rollout_book& registry,
+                                 rollout_keeper& store_sync,
                                  std::function<bool()> is_reader)
     : m_mesh(mesh)
-    , m_book(book)
-    , m_keeper(keeper)
+    , m_registry(registry)
+    , m_store_sync(store_sync)
     , m_is_reader(std::move(is_reader))
 {
 }
@@ -125,7 +125,7 @@
 
 void rollout_decider::add_report(const owner_report& report)
 {
-    const auto* record = m_book.find(report.service);
+    const auto* record = m_registry.find(report.service);
     if (record == nullptr || record->state != rollout_state::running ||
         record->settled.empty())
         return;
@@ -139,8 +139,8 @@
         {{"target", report.target_id}, {"owner", report.owner.text()}});
     auto next = *record;
     next.suspects.push_back(report.target_id);
-    m_book.merge_and_broadcast(next, "decided here");
-    decide(*m_book.find(report.service));
+    m_registry.merge_and_broadcast(next, "decided here");
+    decide(*m_registry.find(report.service));
 }
 
 void rollout_decider::decide_loop()
@@ -148,7 +148,8 @@
     while (true)
     {
         sleep_for(m_mesh.on.io(), decide_interval);
-        const auto records = m_book.records(); // a copy: deciding changes them
+        const auto records =
+            m_registry.records(); // a copy: deciding changes them
         for (const auto& [service, record] : records)
             if (record.state == rollout_state::running)
                 decide(record);
@@ -178,7 +179,7 @@
     const auto canary_owners = owners_of(service, record.order.release);
     if (record.settled == record.order.release && !canary_owners.empty())
     {
-        m_keeper.complete(record); // the release is stable already
+        m_store_sync.complete(record); // the release is stable already
         return;
     }
     const rollout_progress progress{
@@ -197,11 +198,11 @@
         auto next = record;
         next.stage =
             static_cast<rollout_stage>(static_cast<int>(record.stage) + 1);
-        m_book.merge_and_broadcast(next, "decided here");
+        m_registry.merge_and_broadcast(next, "decided here");
         return;
     }
     case rollout_move::complete:
-        m_keeper.complete(record);
+        m_store_sync.complete(record);
         return;
     case rollout_move::give_up:
         roll_back(record, canary_owners.empty()
@@ -240,14 +241,14 @@
     auto next = record;
     next.state = rollout_state::rolled_back;
     next.reason = std::move(reason);
-    m_keeper.mark_decided_here(record.order.service);
-    m_book.merge_and_broadcast(next, "decided here");
+    m_store_sync.mark_decided_here(record.order.service);
+    m_registry.merge_and_broadcast(next, "decided here");
 }
 
 bool rollout_decider::has_recent_reports() const
 {
     return std::ranges::all_of(
-        m_book.records(),
+        m_registry.records(),
         [this](const auto& each)
         {
             const auto& [service, record] = each;
@@ -280,7 +281,7 @@
 json::array rollout_decider::describe_own() const
 {
     json::array list;
-    for (const auto& [service, record] : m_book.records())
+    for (const auto& [service, record] : m_registry.records())
     {
         json::object described{
             {"service", service},
--- a/src/control/rollout_keeper.cpp
+++ b/src/control/rollout_keeper.cpp
@@ -22,12 +22,12 @@
 } // namespace
 
 rollout_keeper::rollout_keeper(mesh_state& mesh,
-                               rollout_book& book,
+                               rollout_book& registry,
                                row_store& store,
                                rollout_source source,
                                std::function<bool()> reads_for_others)
     : m_mesh(mesh)
-    , m_book(book)
+    , m_registry(registry)
     , m_store(store)
     , m_source(std::move(source))
     , m_reads_for_others(std::move(reads_for_others))
@@ -64,7 +64,7 @@
     if (order.revision <= seen)
         return;
     seen = order.revision;
-    const auto* known = m_book.find(order.service);
+    const auto* known = m_registry.find(order.service);
     if (known == nullptr || known->order.revision < order.revision)
         merge_stored(record_of(order));
     m_mesh.on.spawn([this, service = order.service] { sync(service); });
@@ -76,7 +76,7 @@
     {
         sleep_for(m_mesh.on.io(), sync_interval);
         std::set<std::string> due;
-        for (const auto& [service, record] : m_book.records())
+        for (const auto& [service, record] : m_registry.records())
             if (may_write(service) || (record.state == rollout_state::unread &&
                                        m_orders.contains(service)))
                 due.insert(service);
@@ -92,7 +92,7 @@
 
 void rollout_keeper::sync(const std::string& service)
 {
-    const auto* record = m_book.find(service);
+    const auto* record = m_registry.find(service);
     if (record == nullptr)
         return;
     const auto revision = record->order.revision;
@@ -102,7 +102,7 @@
                                      record->state != rollout_state::unread);
     if (!is_read && !read_state(service))
         return;
-    record = m_book.find(service); // may have changed during the read
+    record = m_registry.find(service); // may have changed during the read
     if (record == nullptr || record->order.revision != revision ||
         record->state == rollout_state::unread)
         return;
@@ -122,7 +122,7 @@
     const auto page = m_store.read(name.table, name.part, name.key);
     if (!page)
         return false;
-    const auto* known = m_book.find(service);
+    const auto* known = m_registry.find(service);
     if (known == nullptr)
         return false;
     const auto row = std::ranges::find(page->rows, name, &stored_row::name);
@@ -168,9 +168,9 @@
 void rollout_keeper::merge_stored(const rollout_record& read)
 {
     if (may_write(read.order.service))
-        m_book.merge_and_broadcast(read, "store");
+        m_registry.merge_and_broadcast(read, "store");
     else
-        m_book.merge_records({read});
+        m_registry.merge_records({read});
 }
 
 bool rollout_keeper::write(const rollout_record& record, rollout_state state)
@@ -228,7 +228,7 @@
     const auto& service = record.order.service;
     if (!m_stored.contains(service) && !read_state(service))
         return false;
-    const auto* known = m_book.find(service);
+    const auto* known = m_registry.find(service);
     if (known == nullptr || known->order.revision != record.order.revision ||
         known->state != rollout_state::running)
         return known != nullptr && known->state == rollout_state::completed;
@@ -237,7 +237,7 @@
         return false;
     next.state = rollout_state::completed;
     next.reason = "nothing runs at the release before it";
-    m_book.merge_and_broadcast(next, "decided here");
+    m_registry.merge_and_broadcast(next, "decided here");
     return true;
 }
 
--- a/src/control/rollout_reporter.cpp
+++ b/src/control/rollout_reporter.cpp
@@ -45,12 +45,12 @@
 } // namespace
 
 rollout_reporter::rollout_reporter(mesh_state& mesh,
-                                   rollout_book& book,
+                                   rollout_book& registry,
                                    rollout_decider& decider,
                                    const target_register& targets,
                                    const target_owner& owner)
     : m_mesh(mesh)
-    , m_book(book)
+    , m_registry(registry)
     , m_decider(decider)
     , m_targets(targets)
     , m_owner(owner)
@@ -67,7 +67,7 @@
     while (true)
     {
         sleep_for(m_mesh.on.io(), report_interval);
-        const auto* record = m_book.find(m_mesh.members.self().service);
+        const auto* record = m_registry.find(m_mesh.members.self().service);
         const auto* target = m_targets.in_use();
         if (record == nullptr || target == nullptr ||
             record->state != rollout_state::running)
