--- a/src/control/quota_controller.cpp
+++ b/src/control/quota_controller.cpp
@@ -15,7 +15,7 @@
 namespace json = boost::json;
 
 constexpr milliseconds least_interval(250);
-// Added per entry of the domain, so that a ledger on a slow host keeps up.
+// Interval per entry of the domain, so that a ledger on a slow host keeps up.
 constexpr milliseconds interval_per_entry(4);
 constexpr milliseconds call_timeout(300);
 
--- a/src/control/report_controller.cpp
+++ b/src/control/report_controller.cpp
@@ -9,6 +9,7 @@
 
 // An acknowledgement must reach the target within one second.
 constexpr milliseconds persist_limit(800);
+// After this without an answer of the store peers are asked as well.
 constexpr milliseconds store_only_for(250);
 constexpr milliseconds persist_poll(4);
 constexpr unsigned peers_needed = 2;
--- a/src/control/rollout_book.cpp
+++ b/src/control/rollout_book.cpp
@@ -114,12 +114,12 @@
 
 std::vector<rollout_record> rollout_book::recent() const
 {
-    std::vector<rollout_record> records_now;
+    std::vector<rollout_record> selected;
     for (const auto& [service, record] : m_records)
         if (!is_ended(record.state) ||
             steady_clock::now() < m_changed.at(service) + recent_after_change)
-            records_now.push_back(record);
-    return records_now;
+            selected.push_back(record);
+    return selected;
 }
 
 void rollout_book::note_members()
