--- a/tests/unit/key_range.cpp
+++ b/tests/unit/key_range.cpp
@@ -72,7 +72,7 @@
     }
 }
 
-TEST_CASE("parts are disjoint and cover all keys but this node's own")
+TEST_CASE("parts are disjoint and cover all live members but this node")
 {
     rc::prop(
         "cover",
