--- a/src/control/directory_controller.cpp
+++ b/src/control/directory_controller.cpp
@@ -23,7 +23,7 @@
 constexpr milliseconds join_wait(60);
 // Changes come in bursts (start of all nodes, a release), so one read covers
 // many. Nodes exchange changes directly; the rows are the fallback.
-constexpr milliseconds rest_after_change(2'000);
+constexpr milliseconds pause_after_change(2'000);
 
 /** Returns true if @p row has all persistent fields of @p self. */
 bool has_persistent_fields(const member& row, const member& self)
@@ -208,7 +208,7 @@
             m_revision = std::max(m_revision, page->revision);
             merge_rows(page->rows);
             if (!page->rows.empty())
-                sleep_for(m_mesh.on.io(), rest_after_change);
+                sleep_for(m_mesh.on.io(), pause_after_change);
             continue;
         }
         if (page.reason().code() == error_code::history_lost && load_rows())
--- a/src/control/route_controller.cpp
+++ b/src/control/route_controller.cpp
@@ -26,8 +26,8 @@
 // it reads again and skips versions outdated meanwhile. Readers rest less,
 // because their updates still have to be forwarded. Both keep within the 2 s in
 // which a change must be in force.
-constexpr milliseconds poller_rest(800);
-constexpr milliseconds reader_rest(500);
+constexpr milliseconds poller_pause(800);
+constexpr milliseconds reader_pause(500);
 constexpr milliseconds least_wait(100);
 constexpr milliseconds most_wait(800);
 // Peers of other domains may have a version this much earlier: the own reader
@@ -151,7 +151,7 @@
         // newest only, so it is read after a rest.
         m_waits.reset();
         sleep_for(m_mesh.on.io(),
-                  duty() == store_duty::speak ? reader_rest : poller_rest);
+                  duty() == store_duty::speak ? reader_pause : poller_pause);
         return step::read;
     case outcome::unchanged:
         m_waits.reset();
