--- a/src/control/route_controller.cpp
+++ b/src/control/route_controller.cpp
@@ -22,8 +22,8 @@
 // A reader announces after each answer, so this is the interval of routes
 // updates; see `store_role_choice::staleness_limit`.
 constexpr milliseconds reader_feed_wait(600);
-// The row holds the newest version only, so after a change a node rests before
-// it reads again and skips versions outdated meanwhile. Readers rest less,
+// The row holds the newest version only, so after a change a node pauses before
+// it reads again and skips versions outdated meanwhile. Readers pause less,
 // because their updates still have to be forwarded. Both keep within the 2 s in
 // which a change must be in force.
 constexpr milliseconds poller_pause(800);
@@ -31,7 +31,7 @@
 constexpr milliseconds least_wait(100);
 constexpr milliseconds most_wait(800);
 // Peers of other domains may have a version this much earlier: the own reader
-// rests and reads, and its update takes two or three hops.
+// pauses and reads, and its update takes two or three hops.
 constexpr milliseconds peer_grace(700);
 // Added to the wait for the latest time of an answer, so that a delay of this
 // process does not make the answer seem newer.
@@ -148,7 +148,7 @@
         return step::read;
     case outcome::changed:
         // A feed would deliver each version of a burst; the row holds the
-        // newest only, so it is read after a rest.
+        // newest only, so it is read after a pause.
         m_waits.reset();
         sleep_for(m_mesh.on.io(),
                   duty() == store_duty::speak ? reader_pause : poller_pause);
--- a/tests/integration/mesh_readers.cpp
+++ b/tests/integration/mesh_readers.cpp
@@ -93,7 +93,7 @@
         {
             three_domains system(on);
             sleep_for(on.io(), std::chrono::seconds(6));
-            // The three readers also follow the rows, with a rest after
+            // The three readers also follow the rows, with a pause after
             // changes.
             constexpr std::uint64_t followed = 3 * 4;
             CHECK(system.store().calls_on("members") <= 6 * 3 + followed);
