--- a/src/control/directory_controller.cpp
+++ b/src/control/directory_controller.cpp
@@ -14,21 +14,19 @@
 
 constexpr milliseconds least_wait(150);
 constexpr milliseconds most_wait(1'000);
-// Nodes tell each other of changes, so a feed that went silent may be found
-// out late here.
+// A lost feed may be detected late, since nodes also exchange changes directly.
 constexpr milliseconds feed_wait(8'000);
-constexpr milliseconds duty_check(1'000);
-// A peer's answer brings what rows do not hold (which targets take work); in a
-// calm mesh it is there within this. After a loss of all hosts' power it is
-// not: peers start as well, and a node that waits 0.3 s for them refuses calls
-// that its own target and others could run.
+constexpr milliseconds reader_check_interval(1'000);
+// A peer's answer adds state that is not in the rows (which targets take work).
+// The wait is short, because after a power loss peers are starting too and this
+// node would refuse calls meanwhile.
 constexpr milliseconds join_wait(60);
-// Changes come in bursts (a start of all, a release): one read for many. The
-// nodes tell each other of a change at once; the rows are the net below that.
-constexpr milliseconds rest_after_change(2'000);
+// Changes come in bursts (start of all nodes, a release), so one read covers
+// many. Nodes exchange changes directly; the rows are the fallback.
+constexpr milliseconds pause_after_change(2'000);
 
-/** @return whether @p row holds what must last of @p self. */
-bool holds(const member& row, const member& self)
+/** Returns true if @p row has all persistent fields of @p self. */
+bool has_persistent_fields(const member& row, const member& self)
 {
     return row.rpc == self.rpc && row.peer == self.peer &&
            row.caller == self.caller && row.operators == self.operators &&
@@ -68,7 +66,7 @@
 
 bool directory_controller::own_record_stored() const
 {
-    return m_stored && holds(*m_stored, m_mesh.members.self());
+    return m_stored && has_persistent_fields(*m_stored, m_mesh.members.self());
 }
 
 void directory_controller::start(std::function<void()> loaded)
@@ -118,10 +116,10 @@
     for (const auto& each : m_mesh.members.all())
         if (each.rpc != m_mesh.members.self().rpc)
             peers.push_back(each.rpc);
-    // In any order: when all start, all would ask the first ones of the list.
+    // Random order spreads the requests when all nodes start together.
     std::ranges::shuffle(peers, m_mesh.random);
-    // Behind the rows one answer is enough, and 195 records cost the one who
-    // gives it and the one who takes it several milliseconds on a slow host.
+    // One answer is enough once the rows are read; answers carry all records
+    // and are costly for both sides.
     return !peers.empty() &&
            m_membership.join_through(
                peers, m_rows_read ? 1 : membership_controller::peers_asked);
@@ -129,8 +127,8 @@
 
 bool directory_controller::load_rows()
 {
-    // Changes since the first page come again with the feed.
-    std::optional<std::uint64_t> first;
+    // Following from the first page's revision repeats later changes.
+    std::optional<std::uint64_t> first_revision;
     std::string from;
     while (true)
     {
@@ -141,18 +139,18 @@
                                         page.reason().message());
             return false;
         }
-        if (!first)
-            first = page->revision;
-        take(page->rows);
+        if (!first_revision)
+            first_revision = page->revision;
+        merge_rows(page->rows);
         if (!page->more || page->rows.empty())
             break;
-        from = page->rows.back().name.key + ' '; // the least key behind it
+        from = page->rows.back().name.key + ' '; // the smallest key after it
     }
-    m_revision = *first;
+    m_revision = *first_revision;
     return true;
 }
 
-void directory_controller::take(const std::vector<stored_row>& rows)
+void directory_controller::merge_rows(const std::vector<stored_row>& rows)
 {
     std::vector<member> records;
     const auto own = own_row();
@@ -170,20 +168,22 @@
             m_mesh.board.decisions.note("member_row_refused", each.name.key,
                                         read.reason().message());
         else if (each.name == own)
-            take_own(each, *read);
+            merge_own_row(each, *read);
         else
             records.push_back(*read);
     }
     m_membership.learn(records);
 }
 
-void directory_controller::take_own(const stored_row& row, const member& record)
+void directory_controller::merge_own_row(const stored_row& row,
+                                         const member& record)
 {
     if (row.revision < m_own_revision)
-        return; // this boot has written since
+        return; // older than this boot's own write
     m_own_revision = row.revision;
     m_stored = record;
-    // Takes over the marks of earlier boots and goes above their incarnation.
+    // Adopts the departure records of earlier boots and raises the incarnation
+    // above theirs.
     m_membership.learn({record});
 }
 
@@ -198,7 +198,7 @@
     {
         if (!should_follow())
         {
-            sleep_for(m_mesh.on.io(), duty_check);
+            sleep_for(m_mesh.on.io(), reader_check_interval);
             continue;
         }
         const auto page = m_store.follow(m_config.table, m_revision, feed_wait);
@@ -206,9 +206,9 @@
         {
             m_waits.reset();
             m_revision = std::max(m_revision, page->revision);
-            take(page->rows);
+            merge_rows(page->rows);
             if (!page->rows.empty())
-                sleep_for(m_mesh.on.io(), rest_after_change);
+                sleep_for(m_mesh.on.io(), pause_after_change);
             continue;
         }
         if (page.reason().code() == error_code::history_lost && load_rows())
@@ -232,7 +232,7 @@
     own_record_changed();
 }
 
-void directory_controller::wait_to_write(duration span)
+void directory_controller::wait_before_write(duration span)
 {
     if (m_is_urgent)
         span = std::min<duration>(span, least_wait);
@@ -241,25 +241,27 @@
     m_write_wait.async_wait(await{woken});
 }
 
-duration directory_controller::wait_after(const error& failed)
+duration directory_controller::retry_wait(const error& failed)
 {
     return failed.code() == error_code::retry_later
-               ? m_pace.refused(m_mesh.members.live_count(), m_mesh.random)
+               ? m_pace.delay_after_refusal(m_mesh.members.live_count(),
+                                            m_mesh.random)
                : m_write_waits.next(m_mesh.random);
 }
 
 void directory_controller::write_loop()
 {
-    // Who knows nobody is found by its row only; others have joined by now.
+    // A node that knows no peers is found by its row only, so it writes at
+    // once.
     const auto known = m_mesh.members.live_count();
     if (!m_has_written && !own_record_stored() && known > 1)
-        wait_to_write(m_pace.first(known, m_mesh.random));
+        wait_before_write(m_pace.initial_delay(known, m_mesh.random));
     m_has_written = true;
     while (!own_record_stored() && !write_once())
         ;
     m_writing = false;
     m_is_urgent = false;
-    // A change that came while the last write was on its way.
+    // The record changed while the last write was in progress.
     if (!own_record_stored())
         own_record_changed();
 }
@@ -273,26 +275,26 @@
     {
         m_mesh.board.decisions.note("own_row_not_written", "store",
                                     outcome.reason().message());
-        wait_to_write(wait_after(outcome.reason()));
+        wait_before_write(retry_wait(outcome.reason()));
         return false;
     }
-    m_pace.taken();
+    m_pace.accepted();
     const bool is_new = m_own_revision == 0;
     m_own_revision = outcome->revision;
     if (!outcome->written)
     {
-        // An earlier write was done late; the next one goes on top of it.
-        wait_to_write(m_write_waits.next(m_mesh.random));
+        // An earlier write was applied late; retry with its revision.
+        wait_before_write(m_write_waits.next(m_mesh.random));
         return false;
     }
     m_write_waits.reset();
     m_stored = self;
     if (is_new)
-        m_mesh.on.spawn([this] { read_again(); });
+        m_mesh.on.spawn([this] { reread_until_done(); });
     return true;
 }
 
-void directory_controller::read_again()
+void directory_controller::reread_until_done()
 {
     backoff waits(least_wait, most_wait);
     while (!read_changes())
@@ -308,7 +310,7 @@
     if (page->more)
         return load_rows();
     m_revision = std::max(m_revision, page->revision);
-    take(page->rows);
+    merge_rows(page->rows);
     return true;
 }
 
--- a/src/control/rollout_api.cpp
+++ b/src/control/rollout_api.cpp
@@ -14,11 +14,11 @@
 
 constexpr const char* path = "/v1/rollouts";
 constexpr double ms_per_s = 1000;
-// A release needs some seconds of calls before it can be known to be good.
+// Time limits of a roll-out; a comparison needs at least some seconds of calls.
 constexpr double least_s = 5;
 constexpr double most_s = 7 * 86'400;
 
-result<rollout_order> order_in(const std::string& body)
+result<rollout_order> parse_order(const std::string& body)
 {
     const error bad(
         error_code::invalid_argument, "not an order: " + body,
@@ -49,13 +49,13 @@
 
 } // namespace
 
-rollout_api::rollout_api(rollout_book& book,
+rollout_api::rollout_api(rollout_book& registry,
                          rollout_decider& decider,
-                         rollout_keeper& keeper,
+                         rollout_keeper& store_sync,
                          std::string token)
-    : m_book(book)
+    : m_registry(registry)
     , m_decider(decider)
-    , m_keeper(keeper)
+    , m_store_sync(store_sync)
     , m_token(std::move(token))
 {
 }
@@ -65,27 +65,27 @@
     if (request.path != path)
         return std::nullopt;
     if (request.method == "GET")
-        return respond(200, json::object{{"rollouts", m_decider.account()}});
+        return respond(200, json::object{{"rollouts", m_decider.describe()}});
     if (!brings_token(request, m_token))
         return respond(error(error_code::unauthorized,
                              "a change of roll-outs needs the token"));
     if (request.method == "POST")
-        return give(request);
+        return post_order(request);
     if (request.method == "DELETE")
-        return take_back(request);
+        return revert(request);
     return std::nullopt;
 }
 
-http_response rollout_api::give(const http_request& request)
+http_response rollout_api::post_order(const http_request& request)
 {
-    const auto wanted = order_in(request.body);
-    return wanted ? order(*wanted) : respond(wanted.reason());
+    const auto wanted = parse_order(request.body);
+    return wanted ? submit(*wanted) : respond(wanted.reason());
 }
 
-http_response rollout_api::take_back(const http_request& request)
+http_response rollout_api::revert(const http_request& request)
 {
     const auto service = request.param("service");
-    const auto* known = m_book.find(service);
+    const auto* known = m_registry.find(service);
     if (known == nullptr || known->state != rollout_state::running ||
         known->settled.empty())
         return respond(error(error_code::conflict,
@@ -94,12 +94,12 @@
                              "see tiller rollout"));
     auto back = known->order;
     back.release = known->settled;
-    return order(back);
+    return submit(back);
 }
 
-http_response rollout_api::order(const rollout_order& wanted)
+http_response rollout_api::submit(const rollout_order& wanted)
 {
-    const auto given = m_keeper.give(wanted);
+    const auto given = m_store_sync.store_order(wanted);
     if (!given)
         return respond(given.reason());
     return respond(200, json::object{{"service", wanted.service},
--- a/src/control/rollout_keeper.cpp
+++ b/src/control/rollout_keeper.cpp
@@ -8,9 +8,8 @@
 namespace
 {
 
-// The store answers in 4 ms; a try each 0.3 s is soon enough after an outage
-// and a small part of the calls that following the routes costs.
-constexpr milliseconds keep_pause(300);
+// Soon enough after a store outage, at a small share of the calls to the store.
+constexpr milliseconds sync_interval(300);
 
 rollout_record record_of(const rollout_order& order)
 {
@@ -23,12 +22,12 @@
 } // namespace
 
 rollout_keeper::rollout_keeper(mesh_state& mesh,
-                               rollout_book& book,
+                               rollout_book& registry,
                                row_store& store,
                                rollout_source source,
                                std::function<bool()> reads_for_others)
     : m_mesh(mesh)
-    , m_book(book)
+    , m_registry(registry)
     , m_store(store)
     , m_source(std::move(source))
     , m_reads_for_others(std::move(reads_for_others))
@@ -37,7 +36,7 @@
 
 void rollout_keeper::start()
 {
-    m_mesh.on.spawn([this] { keep_loop(); });
+    m_mesh.on.spawn([this] { sync_loop(); });
 }
 
 void rollout_keeper::rows_seen(const std::vector<stored_row>& rows)
@@ -52,37 +51,37 @@
         if (!order)
             continue;
         if (*order)
-            order_seen(**order);
+            apply_order(**order);
         else if (m_refused.insert(row.name.key + row.value).second)
             m_mesh.board.decisions.note("rollout_refused", row.name.key,
                                         order->reason().message());
     }
 }
 
-void rollout_keeper::order_seen(const rollout_order& order)
+void rollout_keeper::apply_order(const rollout_order& order)
 {
     auto& seen = m_orders[order.service];
     if (order.revision <= seen)
         return;
     seen = order.revision;
-    const auto* known = m_book.find(order.service);
+    const auto* known = m_registry.find(order.service);
     if (known == nullptr || known->order.revision < order.revision)
-        read_from_store(record_of(order));
-    m_mesh.on.spawn([this, service = order.service] { keep_one(service); });
+        merge_stored(record_of(order));
+    m_mesh.on.spawn([this, service = order.service] { sync(service); });
 }
 
-void rollout_keeper::keep_loop()
+void rollout_keeper::sync_loop()
 {
     while (true)
     {
-        sleep_for(m_mesh.on.io(), keep_pause);
+        sleep_for(m_mesh.on.io(), sync_interval);
         std::set<std::string> due;
-        for (const auto& [service, record] : m_book.records())
+        for (const auto& [service, record] : m_registry.records())
             if (may_write(service) || (record.state == rollout_state::unread &&
                                        m_orders.contains(service)))
                 due.insert(service);
         for (const auto& service : due)
-            keep_one(service);
+            sync(service);
     }
 }
 
@@ -91,9 +90,9 @@
     return m_decided_here.contains(service) || m_reads_for_others();
 }
 
-void rollout_keeper::keep_one(const std::string& service)
+void rollout_keeper::sync(const std::string& service)
 {
-    const auto* record = m_book.find(service);
+    const auto* record = m_registry.find(service);
     if (record == nullptr)
         return;
     const auto revision = record->order.revision;
@@ -101,29 +100,29 @@
     const bool is_read =
         stored != m_stored.end() && (stored->second.revision > revision ||
                                      record->state != rollout_state::unread);
-    if (!is_read && !read_verdict(service))
+    if (!is_read && !read_state(service))
         return;
-    record = m_book.find(service); // reading waited, so it may be another
+    record = m_registry.find(service); // may have changed during the read
     if (record == nullptr || record->order.revision != revision ||
         record->state == rollout_state::unread)
         return;
     if (!may_write(service))
         return;
     const auto& last = m_stored.at(service);
-    const bool is_told = last.revision > revision &&
-                         last.release == record->order.release &&
-                         last.state >= record->state;
-    if (!is_told && record->state != rollout_state::completed)
+    const bool is_stored = last.revision > revision &&
+                           last.release == record->order.release &&
+                           last.state >= record->state;
+    if (!is_stored && record->state != rollout_state::completed)
         write(*record, record->state);
 }
 
-bool rollout_keeper::read_verdict(const std::string& service)
+bool rollout_keeper::read_state(const std::string& service)
 {
     const auto name = m_source.verdict_row(service);
     const auto page = m_store.read(name.table, name.part, name.key);
     if (!page)
         return false;
-    const auto* known = m_book.find(service);
+    const auto* known = m_registry.find(service);
     if (known == nullptr)
         return false;
     const auto row = std::ranges::find(page->rows, name, &stored_row::name);
@@ -139,15 +138,15 @@
         read.revision = row->revision;
     }
     m_stored[service] = read;
-    take_verdict(*known, read);
+    apply_state(*known, read);
     return true;
 }
 
-void rollout_keeper::take_verdict(const rollout_record& known,
-                                  const stored_verdict& read)
+void rollout_keeper::apply_state(const rollout_record& known,
+                                 const stored_verdict& read)
 {
     auto next = known;
-    // A state from before the order is of an earlier one.
+    // A state written before the order belongs to an earlier order.
     const bool is_of_order = read.revision > known.order.revision &&
                              read.release == known.order.release;
     next.state = std::max(known.state,
@@ -156,22 +155,22 @@
     {
         const auto age = milliseconds(static_cast<std::int64_t>(
             std::max(wall_clock_ms(), read.begun_ms) - read.begun_ms));
-        // Hosts' clocks differ by seconds: never older than the order's time.
+        // Host clocks differ, so the age is limited to the order's time.
         next.begun = std::min(known.begun,
                               steady_clock::now() -
                                   std::min<duration>(age, known.order.time));
     }
     if (is_of_order && is_ended(read.state))
         next.reason = "by the store";
-    read_from_store(next);
+    merge_stored(next);
 }
 
-void rollout_keeper::read_from_store(const rollout_record& read)
+void rollout_keeper::merge_stored(const rollout_record& read)
 {
     if (may_write(read.order.service))
-        m_book.learn(read, "store");
+        m_registry.merge_and_broadcast(read, "store");
     else
-        m_book.hear({read});
+        m_registry.merge_records({read});
 }
 
 bool rollout_keeper::write(const rollout_record& record, rollout_state state)
@@ -196,13 +195,13 @@
                                 outcome ? "another node wrote it"
                                         : outcome.reason().message(),
                                 {{"state", name_of(state)}});
-    // It may have been done, by whomever: the row tells.
+    // This or another write may have been applied: read the row.
     if (outcome || outcome.reason().code() == error_code::outcome_unknown)
-        read_verdict(service);
+        read_state(service);
     return false;
 }
 
-result<std::uint64_t> rollout_keeper::give(const rollout_order& order)
+result<std::uint64_t> rollout_keeper::store_order(const rollout_order& order)
 {
     const auto name = m_source.order_row(order.service);
     const auto page = m_store.read(name.table, name.part, name.key);
@@ -220,16 +219,16 @@
                      "look at it, then order again");
     auto taken = order;
     taken.revision = outcome->revision;
-    order_seen(taken);
+    apply_order(taken);
     return taken.revision;
 }
 
 bool rollout_keeper::complete(const rollout_record& record)
 {
     const auto& service = record.order.service;
-    if (!m_stored.contains(service) && !read_verdict(service))
+    if (!m_stored.contains(service) && !read_state(service))
         return false;
-    const auto* known = m_book.find(service);
+    const auto* known = m_registry.find(service);
     if (known == nullptr || known->order.revision != record.order.revision ||
         known->state != rollout_state::running)
         return known != nullptr && known->state == rollout_state::completed;
@@ -238,7 +237,7 @@
         return false;
     next.state = rollout_state::completed;
     next.reason = "nothing runs at the release before it";
-    m_book.learn(next, "decided here");
+    m_registry.merge_and_broadcast(next, "decided here");
     return true;
 }
 
--- a/src/distribution/key_range.cpp
+++ b/src/distribution/key_range.cpp
@@ -12,10 +12,10 @@
 namespace
 {
 
-// A part is offered to this many members before it is given up.
+// Members to which a part is offered before it is given up.
 constexpr std::size_t most_candidates = 3;
 
-/** @return the live members in @p range but this node, in order of key. */
+/** Returns the live members in @p range without this node, ordered by key. */
 std::vector<const keyed_member*> members_in(const key_range& range,
                                             const member_list& members)
 {
@@ -30,10 +30,11 @@
     return inside;
 }
 
-/** @return up to three of the group, this node's own domain first. */
-std::vector<address> choose(std::span<const keyed_member* const> group,
-                            const member& self,
-                            random_source& random)
+/** Returns random candidates of the group, this node's domain first. */
+std::vector<address>
+choose_candidates(std::span<const keyed_member* const> group,
+                  const member& self,
+                  random_source& random)
 {
     std::vector<std::size_t> order(group.size());
     for (std::size_t i = 0; i < order.size(); ++i)
@@ -55,7 +56,7 @@
     return each->key;
 }
 
-/** Cuts @p inside into equal groups, none of which straddles @p own_key. */
+/** Splits @p inside into equal groups, and these at @p own_key. */
 std::vector<member_group>
 group(member_group inside, std::size_t fanout, std::uint64_t own_key)
 {
@@ -76,7 +77,7 @@
     return groups;
 }
 
-/** Cuts @p own_key off @p range, which all of @p kept lies on one side of. */
+/** Removes @p own_key from @p range; all of @p kept is on one side of it. */
 void exclude(std::uint64_t own_key, member_group kept, key_range& range)
 {
     if (!range.contains(own_key))
@@ -87,14 +88,14 @@
         range.most = own_key - 1;
 }
 
-std::string hex_of(std::uint64_t number)
+std::string to_hex(std::uint64_t number)
 {
     std::array<char, 16> digits{};
     const auto end = std::to_chars(digits.begin(), digits.end(), number, 16);
     return {digits.begin(), end.ptr};
 }
 
-std::uint64_t number_of(const boost::json::value& hex)
+std::uint64_t from_hex(const boost::json::value& hex)
 {
     const std::string_view text = hex.as_string();
     std::uint64_t number = 0;
@@ -126,7 +127,7 @@
         least = part.range.most + 1;
         exclude(own_key, groups[i], part.range);
         part.live_members = groups[i].size();
-        part.candidates = choose(groups[i], members.self(), random);
+        part.candidates = choose_candidates(groups[i], members.self(), random);
         parts.push_back(std::move(part));
     }
     return parts;
@@ -148,17 +149,17 @@
 {
     if (range == key_range{})
         return;
-    into["lo"] = hex_of(range.least);
-    into["hi"] = hex_of(range.most);
+    into["lo"] = to_hex(range.least);
+    into["hi"] = to_hex(range.most);
 }
 
 key_range range_from_json(const boost::json::object& members)
 {
     key_range range;
     if (const auto* least = members.if_contains("lo"))
-        range.least = number_of(*least);
+        range.least = from_hex(*least);
     if (const auto* most = members.if_contains("hi"))
-        range.most = number_of(*most);
+        range.most = from_hex(*most);
     return range;
 }
 
--- a/tests/unit/store_duty.cpp
+++ b/tests/unit/store_role.cpp
@@ -1,5 +1,5 @@
-/** @file Who asks the store, and what readers tell the others. */
-#include "tillerhall/distribution/store_duty.hpp"
+/** @file Store roles, reader ranks and routes updates. */
+#include "tillerhall/distribution/store_role.hpp"
 #include "tillerhall/control/routes_word.hpp"
 #include "tillerhall/core/base64.hpp"
 #include "tillerhall/core/packing.hpp"
@@ -16,19 +16,20 @@
 {
 
 const time_point start = time_point(std::chrono::hours(1));
-constexpr std::size_t many = 7; // a rank that is no candidate
+constexpr std::size_t no_candidate = 7; // a rank that never announces
 
 } // namespace
 
-TEST_CASE("without a word every node asks the store, the candidates for all")
+TEST_CASE("without updates every node asks the store and candidates announce")
 {
-    const duty_choice alone;
+    const store_role_choice alone;
     CHECK(alone.at(0, start) == store_duty::speak);
-    CHECK(alone.at(duty_choice::candidates - 1, start) == store_duty::speak);
-    CHECK(alone.at(duty_choice::candidates, start) == store_duty::follow);
+    CHECK(alone.at(store_role_choice::candidates - 1, start) ==
+          store_duty::speak);
+    CHECK(alone.at(store_role_choice::candidates, start) == store_duty::poll);
 }
 
-TEST_CASE("a node relies on a fresh word and no longer than the lapse")
+TEST_CASE("a node listens until its newest update exceeds the staleness limit")
 {
     rc::prop("whatever the age of the store's answer",
              []
@@ -36,42 +37,46 @@
                  const milliseconds age(*rc::gen::inRange(0, 3'000));
                  const auto rank =
                      static_cast<std::size_t>(*rc::gen::inRange(1, 10));
-                 duty_choice duty;
-                 duty.heard(0, rank, age, start);
-                 const bool fresh = age < duty_choice::lapse;
-                 RC_ASSERT((duty.at(rank, start) == store_duty::rely) == fresh);
-                 const auto lapsed = start - age + duty_choice::lapse;
-                 RC_ASSERT(duty.at(rank, lapsed) != store_duty::rely);
+                 store_role_choice role;
+                 role.update_received(0, rank, age, start);
+                 const bool fresh = age < store_role_choice::staleness_limit;
+                 RC_ASSERT((role.at(rank, start) == store_duty::listen) ==
+                           fresh);
+                 const auto stale_from =
+                     start - age + store_role_choice::staleness_limit;
+                 RC_ASSERT(role.at(rank, stale_from) != store_duty::listen);
              });
 }
 
-TEST_CASE("an older word does not shorten what a newer one gave")
+TEST_CASE("an update with an older answer does not shorten listening")
 {
-    duty_choice duty;
-    duty.heard(0, many, milliseconds(0), start);
-    duty.heard(1, many, milliseconds(1'300), start + milliseconds(50));
-    CHECK(duty.relies_until() == start + duty_choice::lapse);
+    store_role_choice role;
+    role.update_received(0, no_candidate, milliseconds(0), start);
+    role.update_received(1, no_candidate, milliseconds(1'300),
+                         start + milliseconds(50));
+    CHECK(role.listens_until() == start + store_role_choice::staleness_limit);
 }
 
-TEST_CASE("of two that speak the worse one falls silent, never both")
+TEST_CASE("of two announcers only the worse one stops")
 {
-    rc::prop("for any two candidates",
-             []
-             {
-                 const auto better =
-                     static_cast<std::size_t>(*rc::gen::inRange(0, 2));
-                 const auto worse = static_cast<std::size_t>(
-                     *rc::gen::inRange(static_cast<int>(better) + 1, 3));
-                 duty_choice at_better;
-                 duty_choice at_worse;
-                 at_better.heard(worse, better, milliseconds(0), start);
-                 at_worse.heard(better, worse, milliseconds(0), start);
-                 RC_ASSERT(at_better.at(better, start) == store_duty::speak);
-                 RC_ASSERT(at_worse.at(worse, start) == store_duty::rely);
-             });
+    rc::prop(
+        "for any two candidates",
+        []
+        {
+            const auto better =
+                static_cast<std::size_t>(*rc::gen::inRange(0, 2));
+            const auto worse = static_cast<std::size_t>(
+                *rc::gen::inRange(static_cast<int>(better) + 1, 3));
+            store_role_choice at_better;
+            store_role_choice at_worse;
+            at_better.update_received(worse, better, milliseconds(0), start);
+            at_worse.update_received(better, worse, milliseconds(0), start);
+            RC_ASSERT(at_better.at(better, start) == store_duty::speak);
+            RC_ASSERT(at_worse.at(worse, start) == store_duty::listen);
+        });
 }
 
-TEST_CASE("the best link reads for its domain, whoever counts")
+TEST_CASE("all nodes rank the readers of a domain alike, the best link first")
 {
     std::vector<member> all(12);
     for (std::size_t i = 0; i < all.size(); ++i)
@@ -92,7 +97,7 @@
     CHECK(ranks.size() == all.size());
 }
 
-TEST_CASE("a domain's range holds its members and leaves out other domains")
+TEST_CASE("the key range of a domain contains exactly its members")
 {
     rc::prop("for any two members",
              [](const member& one, const member& other)
@@ -108,7 +113,7 @@
              });
 }
 
-TEST_CASE("a word reads as it was written")
+TEST_CASE("a routes update survives a round trip through JSON")
 {
     routes_word sent;
     sent.reader = "10.0.0.1:7400";
@@ -131,7 +136,7 @@
     CHECK_THROWS(routes_word_from_json(cut));
 }
 
-TEST_CASE("texts come back whole from packing, damaged ones are refused")
+TEST_CASE("packed texts unpack unchanged and truncated ones are refused")
 {
     rc::prop("any text",
              [](const std::string& text)
@@ -156,17 +161,20 @@
     CHECK(read.reason().code() == error_code::too_large);
 }
 
-TEST_CASE("a node that has just read the store waits for a reader's word")
+TEST_CASE("a started node listens for an update after its first read")
 {
-    // The story: 985 nodes that started at once each took themselves for the
-    // best reader, since their lists were empty, and asked on and on.
-    duty_choice duty;
-    duty.read(start);
-    const auto later = start + duty_choice::lapse - milliseconds(1);
-    CHECK(duty.at(many, later) == store_duty::rely);
-    CHECK(duty.at(1, later) == store_duty::rely);
-    CHECK(duty.at(0, later) == store_duty::speak);
-    CHECK(duty.at(many, start + duty_choice::lapse) == store_duty::follow);
-    duty.heard(0, many, milliseconds(0), later);
-    CHECK(duty.at(many, start + duty_choice::lapse) == store_duty::rely);
+    // Guards against a start of all nodes in which each ranks itself best, as
+    // its member list is empty, and keeps polling the store.
+    store_role_choice role;
+    role.store_answered(start);
+    const auto later =
+        start + store_role_choice::staleness_limit - milliseconds(1);
+    CHECK(role.at(no_candidate, later) == store_duty::listen);
+    CHECK(role.at(1, later) == store_duty::listen);
+    CHECK(role.at(0, later) == store_duty::speak);
+    CHECK(role.at(no_candidate, start + store_role_choice::staleness_limit) ==
+          store_duty::poll);
+    role.update_received(0, no_candidate, milliseconds(0), later);
+    CHECK(role.at(no_candidate, start + store_role_choice::staleness_limit) ==
+          store_duty::listen);
 }
