--- a/include/tillerhall/rollout/exposure_tickets.hpp
+++ b/include/tillerhall/rollout/exposure_tickets.hpp
@@ -1,4 +1,4 @@
-/** @file Which calls of an entry may go to a release that is not proved. */
+/** @file Limits the calls that an entry sends to a canary release. */
 #pragma once
 
 #include <algorithm>
@@ -7,47 +7,46 @@
 {
 
 /**
- * Bounds the calls that a new release gets without agreement between nodes:
- * each call that reached a target of the service draws, and with the share's
- * probability wins a ticket for one later call. So over any number of entries,
- * restarts and losses the new release gets at most the share of the calls that
- * reach the service, in expectation, and nothing that begins anew brings an
- * allowance along. With half of the exposure as the share, 1,000 calls reach
- * it over 50 times instead of 100 with a standard deviation of 7. An account
- * that each entry fills up would be exact but gives nothing at 2,700 entries
- * that see one call of a service a second. Pure.
+ * Limits the share of calls that a canary release gets, without agreement
+ * between nodes: each call that reaches a target of the service wins, with
+ * the share as its probability, a permit for one later call. The expected
+ * share therefore holds over any number of entries, and no node that restarts
+ * starts with an allowance. A counter per entry would be exact, but gives
+ * nothing where each entry sees few calls of a service. Does no I/O.
  */
 class exposure_tickets
 {
 public:
-    /** Tickets that are not used pile up no further: a burst would be sent to
+    /** Unused permits beyond this are dropped, so that no burst is sent to
      * one target. */
-    static constexpr unsigned most_kept = 2;
+    static constexpr unsigned max_permits = 2;
 
-    /** A call reached a target. @param point random in [0, 1) */
-    void reached(double share, double point)
+    /** Records a call that reached a target.
+     * @param share of the calls that the canary release may get
+     * @param random uniform in [0, 1) */
+    void reached(double share, double random)
     {
-        if (point < share)
-            m_tickets = std::min(m_tickets + 1, most_kept);
+        if (random < share)
+            m_permits = std::min(m_permits + 1, max_permits);
     }
 
-    bool has_one() const noexcept { return m_tickets > 0; }
+    bool has_one() const noexcept { return m_permits > 0; }
 
-    /** A call goes to the new release. */
+    /** Uses a permit for a call to the canary release. */
     void take() noexcept
     {
-        if (m_tickets > 0)
-            --m_tickets;
+        if (m_permits > 0)
+            --m_permits;
     }
 
-    /** That call did not reach a target. */
+    /** Returns the permit of a call that reached no target. */
     void give_back() noexcept
     {
-        m_tickets = std::min(m_tickets + 1, most_kept);
+        m_permits = std::min(m_permits + 1, max_permits);
     }
 
 private:
-    unsigned m_tickets = 0;
+    unsigned m_permits = 0;
 };
 
 } // namespace tillerhall
