--- a/include/tillerhall/rollout/owner_report.hpp
+++ b/include/tillerhall/rollout/owner_report.hpp
@@ -1,4 +1,4 @@
-/** @file What the owner of a target tells of its runs while a roll-out runs. */
+/** @file An owner's report on the runs at its target during a roll-out. */
 #pragma once
 
 #include "tillerhall/core/address.hpp"
@@ -11,22 +11,23 @@
 namespace tillerhall
 {
 
-/** One owner's counts since its target started; the newest report counts. */
+/** Cumulative counts since the target started; the newest report replaces
+ * earlier ones. */
 struct owner_report
 {
     address owner; ///< control address
     std::string service;
-    std::uint64_t boot = 0; ///< of the owner; a greater one counts anew
+    std::uint64_t boot = 0; ///< of the owner; counts restart with a greater one
     std::string target_id;
     std::string release;
     std::uint32_t running = 0; ///< calls that run or wait there now
-    std::uint64_t taken = 0;   ///< calls taken since the target started
+    std::uint64_t taken = 0;   ///< calls accepted since the target started
     counts_by_class counts;
 };
 
 boost::json::object to_json(const owner_report& sent);
 
-/** Throws std::exception on a bad message; the RPC layer counts it. */
+/** Throws std::exception on a malformed message; the RPC layer counts it. */
 owner_report owner_report_from_json(const boost::json::object& members);
 
 } // namespace tillerhall
--- a/src/rollout/run_counts.cpp
+++ b/src/rollout/run_counts.cpp
@@ -22,8 +22,8 @@
 {
     const double octaves =
         std::log2(std::max(exact_ms(span), first_bucket_ms) / first_bucket_ms);
-    const auto place = static_cast<std::size_t>(octaves * buckets_per_octave);
-    return std::min(place, buckets - 1);
+    const auto index = static_cast<std::size_t>(octaves * buckets_per_octave);
+    return std::min(index, buckets - 1);
 }
 
 std::uint32_t run_counts::timed() const
@@ -50,12 +50,12 @@
     if (ended < before.ended || failed < before.failed ||
         timed() < before.timed())
         return *this;
-    run_counts news = *this;
-    news.ended -= before.ended;
-    news.failed -= before.failed;
-    std::ranges::transform(took, before.took, news.took.begin(),
+    run_counts difference = *this;
+    difference.ended -= before.ended;
+    difference.failed -= before.failed;
+    std::ranges::transform(took, before.took, difference.took.begin(),
                            std::minus<>());
-    return news;
+    return difference;
 }
 
 json::value to_json(const counts_by_class& sent)
