--- a/include/tillerhall/rollout/rollout_order.hpp
+++ b/include/tillerhall/rollout/rollout_order.hpp
@@ -1,4 +1,4 @@
-/** @file What an operator orders: another release of a service's targets. */
+/** @file An operator's order to roll out a release. */
 #pragma once
 
 #include "tillerhall/core/time.hpp"
@@ -13,10 +13,10 @@
 struct rollout_order
 {
     std::string service;
-    std::string release;        ///< wanted, of the targets' software
-    milliseconds time{0};       ///< within which it has to be completed
-    std::uint64_t revision = 0; ///< of the row that holds it; a greater one
-                                ///< replaces the order
+    std::string release;        ///< of the targets' software
+    milliseconds time{0};       ///< until the roll-out must be complete
+    std::uint64_t revision = 0; ///< of the stored row; an order with a greater
+                                ///< one replaces this
 };
 
 } // namespace tillerhall
--- a/include/tillerhall/rollout/rollout_state.hpp
+++ b/include/tillerhall/rollout/rollout_state.hpp
@@ -1,4 +1,4 @@
-/** @file How far a roll-out has come, and its steps. */
+/** @file States and stages of a roll-out. */
 #pragma once
 
 #include <optional>
@@ -7,20 +7,20 @@
 namespace tillerhall
 {
 
-/** How a roll-out stands; the later one of two is true. */
+/** State of a roll-out. In a merge the later of two states holds. */
 enum class rollout_state
 {
-    unread,      ///< ordered; whether it was ended before is not read yet
-    running,     ///< the new release is looked at, or takes over
-    rolled_back, ///< the new release gets no call any more
-    completed    ///< the new release has all calls, the old one may end
+    unread,      ///< ordered; an earlier outcome is not yet read from the store
+    running,     ///< the canary release is under observation or takes over
+    rolled_back, ///< the canary release gets no more calls
+    completed    ///< the canary release has all calls; old targets may stop
 };
 
-/** The steps of a roll-out that runs, in their order. */
+/** The stages of a running roll-out, in order. */
 enum class rollout_stage
 {
     spread, ///< few calls over several targets: does it fail at all
-    loaded, ///< the same calls at few targets: does it fail under load
+    loaded, ///< the same calls at fewer targets: does it fail under load
     quarter,
     half,
     all
@@ -32,7 +32,7 @@
 /** @return the state called @p name, or nothing. */
 std::optional<rollout_state> rollout_state_named(std::string_view name);
 
-/** @return whether nothing about such a roll-out will change any more. */
+/** @return whether the state is final. */
 constexpr bool is_ended(rollout_state state) noexcept
 {
     return state == rollout_state::rolled_back ||
--- a/include/tillerhall/rollout/stored_verdict.hpp
+++ b/include/tillerhall/rollout/stored_verdict.hpp
@@ -1,4 +1,4 @@
-/** @file What the store says of a roll-out's state. */
+/** @file The stored state of a roll-out. */
 #pragma once
 
 #include "tillerhall/core/time.hpp"
@@ -10,12 +10,13 @@
 namespace tillerhall
 {
 
-/** The row by which operators and later boots learn how a roll-out stands. */
+/** The store's row on a roll-out's state, read by operators and by nodes that
+ * start. */
 struct stored_verdict
 {
     std::string release;
     rollout_state state = rollout_state::running;
-    /** Wall clock of the order's first sight; 0 if not told. */
+    /** Wall clock when a node first saw the order; 0 if unknown. */
     std::uint64_t begun_ms = 0;
     std::uint64_t revision = 0; ///< of the row
 };
