--- a/include/tillerhall/rollout/release_baseline.hpp
+++ b/include/tillerhall/rollout/release_baseline.hpp
@@ -1,4 +1,4 @@
-/** @file What runs at the old release's targets are like, to compare with. */
+/** @file Failure rates and latencies of the stable release's recent runs. */
 #pragma once
 
 #include "tillerhall/rollout/run_counts.hpp"
@@ -10,83 +10,84 @@
 namespace tillerhall
 {
 
-/** Where the times of one class of work are cut, in buckets. */
-struct time_cuts
+/** Latency thresholds of one class of work, as buckets of `run_counts`. */
+struct latency_thresholds
 {
-    std::size_t usual = run_counts::buckets - 1; ///< longer ones are slow
-    std::size_t tail = run_counts::buckets - 1;  ///< a few are longer
+    std::size_t usual = run_counts::buckets - 1; ///< runs beyond it are slow
+    std::size_t tail = run_counts::buckets - 1;  ///< few runs are beyond it
 };
 
-using cuts_by_class = std::map<work_class, time_cuts>;
+using thresholds_by_class = std::map<work_class, latency_thresholds>;
 
 /**
- * What runs at the old release's targets were like of late, by class. Times
- * are without targets that are slow just now, and are cut where they were in
- * the calmest moment: slow targets, and a surge that slows all the old ones
- * but not the few that the new release loads, would stretch what counts as
- * usual until nothing is slow. How many runs are beyond a cut is counted of
- * late, so that what slows all condemns nobody.
+ * Recent runs at the stable release's targets, by class of work. Thresholds
+ * leave out targets that are slow at present and don't rise far above those at
+ * the lowest load. Otherwise slow targets, or a surge that slows the stable
+ * targets but not the few canary targets, would raise the thresholds until no
+ * canary run counts as slow. The shares beyond a threshold are those of recent
+ * runs, so that a slowdown of all targets is not held against the canary.
  */
 class release_baseline
 {
 public:
     /**
-     * @param by_target what ran at each target of late
-     * @param calm where times were cut in the calmest moment before
+     * @param by_target recent runs at each target
+     * @param lowest_load thresholds at the lowest load so far
      */
     explicit release_baseline(std::vector<counts_by_class> by_target,
-                              const cuts_by_class& calm = {});
+                              const thresholds_by_class& lowest_load = {});
 
-    /** @return the share of runs of @p work that fail; never quite 0. */
-    double failing(const work_class& work) const;
+    /** @return the share of runs of @p work that fail; at least 1%. */
+    double failure_share(const work_class& work) const;
 
-    /** @return the last bucket of times that are usual; longer ones are slow.
-     */
-    std::size_t usual_time(const work_class& work) const;
+    /** @return the bucket beyond which runs are slow. */
+    std::size_t slow_threshold(const work_class& work) const;
 
-    /** @return the share of runs that take longer; never quite 0. */
-    double slow(const work_class& work) const;
+    /** @return the share of slow runs, with a lower bound above zero. */
+    double slow_share(const work_class& work) const;
 
     /**
-     * @return the bucket behind which only a few runs in a hundred are. A
-     * release of which some runs are several times slower puts many there,
-     * while a machine of half the speed puts few more.
+     * @return the bucket beyond which the tail starts. A release of which some
+     * runs are several times slower has many runs there; a machine of half the
+     * speed has few more.
      */
-    std::size_t tail_from(const work_class& work) const;
+    std::size_t tail_threshold(const work_class& work) const;
 
-    /** @return the share of runs behind it; never quite 0. */
-    double tail(const work_class& work) const;
+    /** @return the share of runs in the tail, with a lower bound above zero. */
+    double tail_share(const work_class& work) const;
 
     /**
-     * @return the same share, and that of the tail, as far as calm moments have
-     * it: what a surge does to old targets proves nothing for a new release.
+     * @return the share of slow runs, or of runs in the tail, with an upper
+     * bound: a surge at the stable targets must not make a canary look
+     * non-inferior.
      */
-    double calm_slow(const work_class& work) const;
-    double calm_tail(const work_class& work) const;
+    double capped_slow_share(const work_class& work) const;
+    double capped_tail_share(const work_class& work) const;
 
-    /** @return where times are cut now, for later ones. */
-    cuts_by_class cuts() const;
+    /** @return the present thresholds of classes with enough runs. */
+    thresholds_by_class current_thresholds() const;
 
-    /** @return whether enough ran to tell which times are usual. */
-    bool knows_times(const work_class& work) const;
+    /** @return whether enough runs were timed for latency thresholds. */
+    bool has_latencies(const work_class& work) const;
 
-    /** @return what ran at all targets together. */
-    const counts_by_class& counts() const noexcept { return m_sum; }
+    /** @return the recent runs of all targets. */
+    const counts_by_class& counts() const noexcept { return m_total; }
 
 private:
-    struct usual_times
+    struct latency_baseline
     {
-        time_cuts cuts;
-        double slow = 0; ///< share of runs beyond the first cut
-        double tail = 0; ///< and beyond the second
+        latency_thresholds thresholds;
+        double slow_share = 0; ///< of runs beyond the slow threshold
+        double tail_share = 0; ///< of runs beyond the tail threshold
     };
 
-    const run_counts& of(const work_class& work) const;
-    usual_times times_of(const work_class& work, const time_cuts& calm) const;
+    const run_counts& counts_of(const work_class& work) const;
+    latency_baseline latency_of(const work_class& work,
+                                const latency_thresholds& lowest_load) const;
 
     std::vector<counts_by_class> m_by_target;
-    counts_by_class m_sum;
-    std::map<work_class, usual_times> m_times;
+    counts_by_class m_total;
+    std::map<work_class, latency_baseline> m_latencies;
 };
 
 } // namespace tillerhall
--- a/include/tillerhall/rollout/rollout_plan.hpp
+++ b/include/tillerhall/rollout/rollout_plan.hpp
@@ -1,4 +1,4 @@
-/** @file Which step of a roll-out comes when: how much the new release gets. */
+/** @file The stages of a roll-out: when each ends and what it allows. */
 #pragma once
 
 #include "tillerhall/rollout/rollout_judge.hpp"
@@ -9,37 +9,38 @@
 namespace tillerhall
 {
 
-/** The greatest share of a service's calls that a release may get before it is
- * known to be good, where no setting tells. */
-inline constexpr double usual_exposure = 0.1;
+/** Greatest share of a service's calls for a release that is not yet shown
+ * non-inferior, unless the settings give another. */
+inline constexpr double default_exposure = 0.1;
 
-/** What a stage gives to the new release. */
-struct stage_terms
+/** What a stage allows the canary release. */
+struct stage_allowance
 {
     double share = 0;        ///< of the calls that reach the service
-    std::size_t targets = 0; ///< of the new release that may get them
+    std::size_t targets = 0; ///< canary targets that may get them
 };
 
 /**
- * @param exposure the greatest share that a release may get before it is known
- * to be good; half of it is used, so that the steps at the end fit below it
- * @param settled_targets of the old release, by which the number of new ones
- * is set: each bears about what an old one bears
+ * @param exposure greatest share of calls for a release that is not yet shown
+ * non-inferior; the first stages use half of it, which leaves room for the
+ * later ones
+ * @param settled_targets targets of the stable release; the number of canary
+ * targets follows from it, so that each gets about the load of a stable one
  */
-stage_terms
-terms_of(rollout_stage stage, double exposure, std::size_t settled_targets);
+stage_allowance
+allowance_of(rollout_stage stage, double exposure, std::size_t settled_targets);
 
-/** What decides whether a roll-out goes on. */
+/** The input of `next_move`. */
 struct rollout_progress
 {
-    time_point stage_begun{}; ///< here; a stage takes a while to be followed
+    time_point stage_begun{}; ///< when this node entered the stage
     stage_evidence seen;
     bool settled_is_idle = false;
-    std::size_t settled_targets = 0; ///< that live
-    std::size_t wanted_targets = 0;  ///< that live
+    std::size_t settled_targets = 0; ///< live ones
+    std::size_t wanted_targets = 0;  ///< live canary targets
 };
 
-/** What comes next for a roll-out that runs. */
+/** What a running roll-out does next. */
 enum class rollout_move
 {
     wait,
@@ -49,19 +50,17 @@
 };
 
 /**
- * Beyond the share that a bad release may get a step needs the proof that the
- * release is no worse (`stage_evidence::is_proven`); without it the plan stays
- * where it is, and gives up when the time is nearly over.
+ * Decides the next move of a running roll-out. A stage that would exceed the
+ * exposure is entered only when the release is shown non-inferior
+ * (`stage_evidence::is_noninferior`); otherwise the roll-out waits, and gives
+ * up shortly before its time is over.
  *
- * The load it answers: a release may be bad from the start, later, under load
- * or for one class of work. So half of the order's time is for looking, at the
- * least share; what begins to fail within it is found while at most half of the
- * exposure is spent. A quarter and a half of the calls follow for a twelfth of
- * the time each: 0.05 * 0.5 + 0.25 * 0.08 + 0.5 * 0.08 of an exposure of 0.1
- * make 0.085, so that what is found out before the last step never breaks it.
- * In the last step, from three quarters on, a release that turns bad is found
- * within half a second, and the exposure is passed: that step cannot be made
- * without. Pure.
+ * A release may be bad from the start, later, under load, or for one class of
+ * work. So half of the order's time is for observation at the least share; a
+ * quarter and a half of the calls follow for a twelfth of the time each. With
+ * an exposure of 0.1 these sum to 0.05 * 0.5 + 0.25 * 0.08 + 0.5 * 0.08 =
+ * 0.085, so a fault found before the last stage never exceeds the exposure. A
+ * release that turns bad in the last stage exceeds it. Does no I/O.
  */
 rollout_move next_move(const rollout_record& known,
                        const rollout_progress& progress,
--- a/include/tillerhall/rollout/rollout_view.hpp
+++ b/include/tillerhall/rollout/rollout_view.hpp
@@ -1,4 +1,4 @@
-/** @file The roll-outs of all services, as calls are led by them. */
+/** @file The roll-outs of all services, for the routing of calls. */
 #pragma once
 
 #include "tillerhall/rollout/rollout_plan.hpp"
@@ -12,47 +12,46 @@
 namespace tillerhall
 {
 
-/** What calls of a service may go to targets of one release. */
+/** Which of a service's calls targets of one release may get. */
 enum class release_standing
 {
-    settled, ///< has the calls
-    trial,   ///< gets what the stage of its roll-out gives
-    guest,   ///< nobody ordered it: gets the least share
-    closed   ///< gets none
+    settled, ///< all that a canary does not get
+    trial,   ///< what the stage of its roll-out allows
+    guest,   ///< the least share: no order names the release
+    closed   ///< none
 };
 
-/** An immutable view of what is known of roll-outs. */
+/** An immutable snapshot of all roll-outs. */
 class rollout_view : public boost::intrusive_ref_counter<rollout_view>
 {
 public:
     using by_service = std::map<std::string, rollout_record>;
     using releases = std::map<std::string, std::string>;
 
-    /** Without orders, and with every release as good as the other. */
+    /** A view without orders and stable releases. */
     rollout_view() = default;
 
     /**
-     * @param settled release that each service had when all its targets had
-     * the same, for services without an order
-     * @param exposure see `terms_of`
+     * @param settled stable releases of services without an order: the last
+     * release that all targets of the service had
+     * @param exposure see `allowance_of`
      */
     rollout_view(by_service records, releases settled, double exposure)
         : m_records(std::move(records))
-        , m_settled(std::move(settled))
+        , m_stable(std::move(settled))
         , m_exposure(exposure)
     {
     }
 
-    /** @return null if nothing was ordered for @p service. */
+    /** @return the record of @p service; null if nothing was ordered. */
     const rollout_record* find(const std::string& service) const;
 
     const by_service& records() const noexcept { return m_records; }
 
-    /** @return the release that has the calls of @p service; empty if that is
-     * not known. */
+    /** @return the stable release of @p service; empty if not known. */
     std::string settled(const std::string& service) const;
 
-    /** @param settled of the service, as it was found out for the view */
+    /** @param settled stable release of the service, as the caller decided */
     release_standing standing(const std::string& service,
                               const std::string& release,
                               const std::string& settled) const;
@@ -61,14 +60,14 @@
     bool is_closed(const std::string& service,
                    const std::string& release) const;
 
-    /** @return what releases on trial get, with so many settled targets. */
-    stage_terms terms(const std::string& service,
-                      std::size_t settled_targets) const;
+    /** @return what canary targets are allowed beside so many stable ones. */
+    stage_allowance terms(const std::string& service,
+                          std::size_t settled_targets) const;
 
 private:
     by_service m_records;
-    releases m_settled;
-    double m_exposure = usual_exposure;
+    releases m_stable;
+    double m_exposure = default_exposure;
 };
 
 using rollout_view_ptr = boost::intrusive_ptr<const rollout_view>;
--- a/src/rollout/release_baseline.cpp
+++ b/src/rollout/release_baseline.cpp
@@ -7,64 +7,65 @@
 namespace
 {
 
-// What is believed before anything ran at the old release: one in twenty.
+// Prior of shares of bad runs, before any run: one in twenty.
 constexpr double prior_runs = 20;
-constexpr double prior_bad = 1;
-// An old release that never fails in a few hundred runs may still fail.
-constexpr double least_share = 0.01;
-// Where a share of the targets has half of the speed, 15 in 100 of a slow one's
-// runs are beyond what is usual.
-constexpr double least_slow = 0.12;
-// The slowest tenth of the old release's runs are beyond what is usual.
-constexpr double usual_part = 0.9;
-// Two in a hundred of them are in its tail.
-constexpr double tail_part = 0.98;
-constexpr double least_tail = 0.04;
-// In calm moments machines and chance put up to twice as many beyond a cut.
-constexpr double most_in_calm = 2;
-constexpr std::uint32_t least_timed = 30;
-// Of fewer runs the calmest moment is only the luckiest.
-constexpr std::uint32_t least_calm = 200;
-// Of a target that ran less its mean time tells nothing.
-constexpr std::uint32_t least_timed_each = 8;
-// With fewer targets there is no telling which one is the odd one.
-constexpr std::size_t least_targets = 3;
-// Machines differ in speed by up to two from the middle one: a target whose
-// runs take three times as long is slow just now. In half octaves.
-constexpr double most_apart = 3.2;
-// A run that takes half as long again is no sign yet: one half octave is added.
-constexpr std::size_t usual_margin = 1;
+constexpr double prior_bad_runs = 1;
+// A stable release without failures in a few hundred runs may still fail.
+constexpr double min_share = 0.01;
+// Lower bounds of the shares of slow runs and of runs in the tail; they allow
+// for machines of half the speed.
+constexpr double min_slow_share = 0.12;
+// Of the stable release's runs the slowest tenth is slow.
+constexpr double slow_quantile = 0.9;
+// The slowest two in a hundred are in the tail.
+constexpr double tail_quantile = 0.98;
+constexpr double min_tail_share = 0.04;
+// Upper bound of a capped share, as a multiple of its lower bound: differences
+// between machines and chance double a share at most.
+constexpr double max_share_factor = 2;
+constexpr std::uint32_t min_timed_runs = 30;
+// Thresholds of fewer runs vary too much to be kept as the lowest.
+constexpr std::uint32_t min_threshold_runs = 200;
+// With fewer runs the mean latency of a target is too uncertain.
+constexpr std::uint32_t min_timed_runs_per_target = 8;
+// With fewer targets no outlier can be told.
+constexpr std::size_t min_targets = 3;
+// In buckets of half an octave. Machines differ by a factor of up to two from
+// the median; a target that takes three times as long is left out as slow.
+constexpr double max_bucket_distance = 3.2;
+// Runs that take up to half as long again don't count as slow.
+constexpr std::size_t slow_margin_buckets = 1;
 
 double share_of(std::uint32_t bad, std::uint32_t all)
 {
-    const double share = (bad + prior_bad) / (all + prior_runs);
-    return std::max(share, least_share);
+    const double share = (bad + prior_bad_runs) / (all + prior_runs);
+    return std::max(share, min_share);
 }
 
-/** @return the bucket below whose end @p part of the runs of @p counts are. */
-std::size_t last_of(const run_counts& counts, double part)
+/** @return the bucket of the @p quantile of the timed runs. */
+std::size_t quantile_bucket(const run_counts& counts, double quantile)
 {
-    const double most = part * counts.timed();
-    double seen = 0;
+    const double needed = quantile * counts.timed();
+    double counted = 0;
     std::size_t last = 0;
     for (; last + 1 < run_counts::buckets; ++last)
     {
-        seen += counts.took[last];
-        if (seen >= most)
+        counted += counts.took[last];
+        if (counted >= needed)
             break;
     }
     return last;
 }
 
-/** @return the cut @p now, or that of the calmest moment where runs take nearly
- * three times as long now: less is chance, or the way of machines. */
-std::size_t calmer(std::size_t now, std::size_t calm)
+/** @return the @p current threshold, or that at the lowest load if the current
+ * one is more than two buckets above it; smaller differences are chance. */
+std::size_t limited_threshold(std::size_t current, std::size_t lowest_load)
 {
-    constexpr std::size_t apart = 2;
-    return now > calm + apart ? calm : now;
+    constexpr std::size_t min_distance = 2;
+    return current > lowest_load + min_distance ? lowest_load : current;
 }
 
-/** @return the mean of the logarithm of the times, in buckets. */
+/** @return the mean logarithm of the latencies, in buckets. */
 double mean_bucket(const run_counts& counts)
 {
     double sum = 0;
@@ -73,122 +74,132 @@
     return sum / counts.timed();
 }
 
-/** @return the runs of the targets that are not slow just now. */
-run_counts healthy_of(const std::vector<const run_counts*>& targets)
+/** @return the runs at the targets that are not slow at present. */
+run_counts without_slow_targets(const std::vector<const run_counts*>& targets)
 {
     std::vector<double> means;
     for (const auto* each : targets)
         means.push_back(mean_bucket(*each));
     auto sorted = means;
     std::ranges::sort(sorted);
-    const double middle = sorted[sorted.size() / 2];
-    run_counts healthy;
+    const double median = sorted[sorted.size() / 2];
+    run_counts kept;
     for (std::size_t i = 0; i < targets.size(); ++i)
-        if (means[i] <= middle + most_apart)
-            healthy += *targets[i];
-    return healthy;
+        if (means[i] <= median + max_bucket_distance)
+            kept += *targets[i];
+    return kept;
 }
 
 } // namespace
 
 release_baseline::release_baseline(std::vector<counts_by_class> by_target,
-                                   const cuts_by_class& calm)
+                                   const thresholds_by_class& lowest_load)
     : m_by_target(std::move(by_target))
 {
     for (const auto& each : m_by_target)
         for (const auto& [work, counts] : each)
-            m_sum[work] += counts;
-    for (const auto& [work, counts] : m_sum)
+            m_total[work] += counts;
+    for (const auto& [work, counts] : m_total)
     {
-        const auto known = calm.find(work);
-        m_times[work] =
-            times_of(work, known == calm.end() ? time_cuts() : known->second);
+        const auto known = lowest_load.find(work);
+        m_latencies[work] =
+            latency_of(work, known == lowest_load.end() ? latency_thresholds()
+                                                        : known->second);
     }
 }
 
-cuts_by_class release_baseline::cuts() const
+thresholds_by_class release_baseline::current_thresholds() const
 {
-    cuts_by_class found;
-    for (const auto& [work, times] : m_times)
-        if (of(work).timed() >= least_calm)
-            found[work] = times.cuts;
+    thresholds_by_class found;
+    for (const auto& [work, latency] : m_latencies)
+        if (counts_of(work).timed() >= min_threshold_runs)
+            found[work] = latency.thresholds;
     return found;
 }
 
-const run_counts& release_baseline::of(const work_class& work) const
+const run_counts& release_baseline::counts_of(const work_class& work) const
 {
     static const run_counts none;
-    const auto found = m_sum.find(work);
-    return found == m_sum.end() ? none : found->second;
+    const auto found = m_total.find(work);
+    return found == m_total.end() ? none : found->second;
 }
 
-release_baseline::usual_times
-release_baseline::times_of(const work_class& work, const time_cuts& calm) const
+release_baseline::latency_baseline
+release_baseline::latency_of(const work_class& work,
+                             const latency_thresholds& lowest_load) const
 {
     std::vector<const run_counts*> targets;
     for (const auto& each : m_by_target)
         if (const auto found = each.find(work);
-            found != each.end() && found->second.timed() >= least_timed_each)
+            found != each.end() &&
+            found->second.timed() >= min_timed_runs_per_target)
             targets.push_back(&found->second);
-    const auto usual =
-        targets.size() < least_targets ? of(work) : healthy_of(targets);
-    usual_times times;
-    const auto last = std::min(last_of(usual, usual_part) + usual_margin,
-                               run_counts::buckets - 1);
-    times.cuts.usual = calmer(last, calm.usual);
-    times.cuts.tail = calmer(last_of(usual, tail_part), calm.tail);
-    const auto beyond = [&](std::size_t cut)
-    { return share_of(usual.longer_than(cut), usual.timed()); };
-    times.slow = std::max(least_slow, beyond(times.cuts.usual));
-    times.tail = std::max(least_tail, beyond(times.cuts.tail));
-    return times;
-}
-
-double release_baseline::failing(const work_class& work) const
-{
-    const auto& counts = of(work);
+    const auto runs = targets.size() < min_targets
+                          ? counts_of(work)
+                          : without_slow_targets(targets);
+    latency_baseline latency;
+    const auto last =
+        std::min(quantile_bucket(runs, slow_quantile) + slow_margin_buckets,
+                 run_counts::buckets - 1);
+    latency.thresholds.usual = limited_threshold(last, lowest_load.usual);
+    latency.thresholds.tail = limited_threshold(
+        quantile_bucket(runs, tail_quantile), lowest_load.tail);
+    const auto beyond = [&](std::size_t threshold)
+    { return share_of(runs.longer_than(threshold), runs.timed()); };
+    latency.slow_share =
+        std::max(min_slow_share, beyond(latency.thresholds.usual));
+    latency.tail_share =
+        std::max(min_tail_share, beyond(latency.thresholds.tail));
+    return latency;
+}
+
+double release_baseline::failure_share(const work_class& work) const
+{
+    const auto& counts = counts_of(work);
     return share_of(counts.failed, counts.ended);
 }
 
-std::size_t release_baseline::usual_time(const work_class& work) const
+std::size_t release_baseline::slow_threshold(const work_class& work) const
 {
-    const auto found = m_times.find(work);
-    return found == m_times.end() ? usual_times().cuts.usual
-                                  : found->second.cuts.usual;
+    const auto found = m_latencies.find(work);
+    return found == m_latencies.end() ? latency_baseline().thresholds.usual
+                                      : found->second.thresholds.usual;
 }
 
-double release_baseline::slow(const work_class& work) const
+double release_baseline::slow_share(const work_class& work) const
 {
-    const auto found = m_times.find(work);
-    return found == m_times.end() ? least_slow : found->second.slow;
+    const auto found = m_latencies.find(work);
+    return found == m_latencies.end() ? min_slow_share
+                                      : found->second.slow_share;
 }
 
-std::size_t release_baseline::tail_from(const work_class& work) const
+std::size_t release_baseline::tail_threshold(const work_class& work) const
 {
-    const auto found = m_times.find(work);
-    return found == m_times.end() ? usual_times().cuts.tail
-                                  : found->second.cuts.tail;
+    const auto found = m_latencies.find(work);
+    return found == m_latencies.end() ? latency_baseline().thresholds.tail
+                                      : found->second.thresholds.tail;
 }
 
-double release_baseline::tail(const work_class& work) const
+double release_baseline::tail_share(const work_class& work) const
 {
-    const auto found = m_times.find(work);
-    return found == m_times.end() ? least_tail : found->second.tail;
+    const auto found = m_latencies.find(work);
+    return found == m_latencies.end() ? min_tail_share
+                                      : found->second.tail_share;
 }
 
-double release_baseline::calm_slow(const work_class& work) const
+double release_baseline::capped_slow_share(const work_class& work) const
 {
-    return std::min(slow(work), least_slow * most_in_calm);
+    return std::min(slow_share(work), min_slow_share * max_share_factor);
 }
 
-double release_baseline::calm_tail(const work_class& work) const
+double release_baseline::capped_tail_share(const work_class& work) const
 {
-    return std::min(tail(work), least_tail * most_in_calm);
+    return std::min(tail_share(work), min_tail_share * max_share_factor);
 }
 
-bool release_baseline::knows_times(const work_class& work) const
+bool release_baseline::has_latencies(const work_class& work) const
 {
-    return of(work).timed() >= least_timed;
+    return counts_of(work).timed() >= min_timed_runs;
 }
 
 } // namespace tillerhall
--- a/src/rollout/rollout_judge.cpp
+++ b/src/rollout/rollout_judge.cpp
@@ -9,33 +9,30 @@
 namespace
 {
 
-// Who runs as much tells of a target that is used: a lone run does not.
-constexpr std::chrono::seconds ran_lately(3);
-// Nodes may send to the old release until they have heard of the last step, a
-// few tens of milliseconds, and calls on their way arrive within the same.
-constexpr milliseconds quiet_for(700);
-// Owners report twice a second; who has not for so long is gone or cut off.
-constexpr milliseconds gone_after(2'000);
-// A class of work counts that makes one run in twenty; of it so many runs find
-// a share of a quarter that fails with 19 in 20.
-constexpr std::uint32_t least_part = 20;
-constexpr std::uint32_t least_runs = 12;
-// What runs fail in all releases is known after so many; until then, while it
-// is not known, a good release was given up in 10 of 200 plays of a failure
-// that hit all. The service may have no runs at all: then not later than this.
-constexpr std::uint32_t least_compared = 60;
-constexpr milliseconds compared_by(2'000);
-// What must speak against each of the targets by which a release is given up,
-// and against each on the mean, in logs of likelihood ratios. A target that is
-// bad by itself brings 8, so that two others must bring 13: by chance they do
-// with e^-13. At 6 on the mean one of 200 good releases was given up in a
-// failure that hit all; at 7 none, and all bad ones were found in time.
-constexpr double least_strength = 3;
-constexpr double strength_a_target = 7;
+// Targets without a run for longer are not counted for or against a release.
+constexpr std::chrono::seconds recent_run_window(3);
+// Longer than the last stage takes to reach all nodes, plus calls in transit.
+constexpr milliseconds idle_after(700);
+// Owners report twice a second; without a report one is gone or unreachable.
+constexpr milliseconds report_timeout(2'000);
+// Classes of work with less than one in this many runs are not required.
+constexpr std::uint32_t min_class_divisor = 20;
+// Enough to see a failure with 95% probability if a quarter of the runs fails.
+constexpr std::uint32_t min_class_runs = 12;
+// Runs of the stable release before the canary is tested: with fewer, a failure
+// of all releases is taken for one of the canary. A service without so many
+// runs is tested after the timeout.
+constexpr std::uint32_t min_baseline_runs = 60;
+constexpr milliseconds baseline_timeout(2'000);
+// Scores of the targets for which a release is rolled back, of each one and on
+// average, as log-likelihood ratios. Beside one regressed target, with a score
+// of 8, two others need a sum of 13, which has a probability of e^-13.
+constexpr double min_score = 3;
+constexpr double min_mean_score = 7;
 
-void subtract(counts_by_class& from, const counts_by_class& gone)
+void subtract(counts_by_class& from, const counts_by_class& removed)
 {
-    for (const auto& [work, counts] : gone)
+    for (const auto& [work, counts] : removed)
     {
         auto& left = from[work];
         left = left.since(counts);
@@ -44,7 +41,7 @@
     }
 }
 
-std::uint32_t ended_in(const counts_by_class& counts)
+std::uint32_t total_ended(const counts_by_class& counts)
 {
     std::uint32_t sum = 0;
     for (const auto& [work, each] : counts)
@@ -52,28 +49,28 @@
     return sum;
 }
 
-counts_by_class news_of(const counts_by_class& now,
-                        const counts_by_class& before)
+counts_by_class difference(const counts_by_class& now,
+                           const counts_by_class& before)
 {
-    counts_by_class news;
+    counts_by_class new_runs;
     for (const auto& [work, counts] : now)
     {
         const auto known = before.find(work);
         const auto added =
             known == before.end() ? counts : counts.since(known->second);
         if (added.ended > 0 || added.timed() > 0)
-            news.emplace(work, added);
+            new_runs.emplace(work, added);
     }
-    return news;
+    return new_runs;
 }
 
 } // namespace
 
 bool rollout_judge::take(const owner_report& report, time_point now)
 {
-    forget_old(now);
+    drop_old_counts(now);
     auto& known = m_owners[report.target_id];
-    const bool is_first = known.heard == time_point{};
+    const bool is_first = known.reported_at == time_point{};
     if (!is_first &&
         (report.boot < known.last.boot ||
          (report.boot == known.last.boot && report.taken < known.last.taken)))
@@ -81,86 +78,87 @@
     if (report.boot > known.last.boot)
     {
         known.last.counts.clear();
-        known.judged.clear();
+        known.tested.clear();
     }
-    if (m_first == time_point{})
-        m_first = now;
-    const auto news = news_of(report.counts, known.last.counts);
+    if (m_first_report == time_point{})
+        m_first_report = now;
+    const auto new_runs = difference(report.counts, known.last.counts);
     if (is_first || report.running > 0 || report.taken != known.last.taken)
-        known.busy = now;
-    known.heard = now;
+        known.busy_at = now;
+    known.reported_at = now;
     known.last = report;
-    if (!news.empty())
-        known.ran = now;
-    if (report.release == m_settled && !is_first)
-        add_before(report.target_id, news, now); // the first is of long ago
-    if (report.release != m_wanted)
+    if (!new_runs.empty())
+        known.ran_at = now;
+    // The first report may hold old runs.
+    if (report.release == m_stable && !is_first)
+        add_baseline_runs(report.target_id, new_runs, now);
+    if (report.release != m_canary)
         return false;
-    for (const auto& [work, counts] : news)
+    for (const auto& [work, counts] : new_runs)
         m_stage[work] += counts;
-    try_target(known, now);
-    return known.trial.is_suspect() &&
-           m_suspects.insert(report.target_id).second;
+    test_target(known, now);
+    return known.regression.is_regressed() &&
+           m_regressed.insert(report.target_id).second;
 }
 
-bool rollout_judge::may_judge(time_point now) const
+bool rollout_judge::can_test(time_point now) const
 {
-    return ended_in(m_baseline.counts()) >= least_compared ||
-           now > m_first + compared_by;
+    return total_ended(m_baseline.counts()) >= min_baseline_runs ||
+           now > m_first_report + baseline_timeout;
 }
 
-void rollout_judge::try_target(owner_state& of, time_point now)
+void rollout_judge::test_target(owner_state& owner, time_point now)
 {
-    if (m_is_stale)
-        compare_with_lately();
-    if (!may_judge(now))
-        return; // it is all in the next report as well
-    const auto news = news_of(of.last.counts, of.judged);
-    of.trial.ran(news, m_baseline);
-    of.proof.ran(news, m_baseline);
-    of.judged = of.last.counts;
+    if (m_is_baseline_stale)
+        update_baseline();
+    if (!can_test(now))
+        return; // the next report has these runs as well
+    const auto new_runs = difference(owner.last.counts, owner.tested);
+    owner.regression.add(new_runs, m_baseline);
+    owner.noninferiority.add(new_runs, m_baseline);
+    owner.tested = owner.last.counts;
 }
 
-void rollout_judge::add_before(const std::string& target_id,
-                               const counts_by_class& news,
-                               time_point now)
+void rollout_judge::add_baseline_runs(const std::string& target_id,
+                                      const counts_by_class& new_runs,
+                                      time_point now)
 {
-    if (news.empty())
+    if (new_runs.empty())
         return;
-    m_spans.push_back({now, target_id, news});
-    auto& before = m_before[target_id];
-    for (const auto& [work, counts] : news)
+    m_recent.push_back({now, target_id, new_runs});
+    auto& before = m_recent_totals[target_id];
+    for (const auto& [work, counts] : new_runs)
         before[work] += counts;
-    m_is_stale = true;
+    m_is_baseline_stale = true;
 }
 
-void rollout_judge::compare_with_lately()
+void rollout_judge::update_baseline()
 {
-    m_is_stale = false;
+    m_is_baseline_stale = false;
     std::vector<counts_by_class> by_target;
-    by_target.reserve(m_before.size());
-    for (const auto& [id, counts] : m_before)
+    by_target.reserve(m_recent_totals.size());
+    for (const auto& [id, counts] : m_recent_totals)
         by_target.push_back(counts);
-    m_baseline = release_baseline(std::move(by_target), m_calm);
-    for (const auto& [work, cuts] : m_baseline.cuts())
+    m_baseline = release_baseline(std::move(by_target), m_lowest_thresholds);
+    for (const auto& [work, thresholds] : m_baseline.current_thresholds())
     {
-        auto& calm = m_calm[work];
-        calm.usual = std::min(calm.usual, cuts.usual);
-        calm.tail = std::min(calm.tail, cuts.tail);
+        auto& lowest = m_lowest_thresholds[work];
+        lowest.usual = std::min(lowest.usual, thresholds.usual);
+        lowest.tail = std::min(lowest.tail, thresholds.tail);
     }
 }
 
-void rollout_judge::forget_old(time_point now)
+void rollout_judge::drop_old_counts(time_point now)
 {
-    while (!m_spans.empty() && m_spans.front().at + lately < now)
+    while (!m_recent.empty() && m_recent.front().at + baseline_window < now)
     {
-        const auto& gone = m_spans.front();
-        const auto from = m_before.find(gone.target_id);
-        subtract(from->second, gone.counts);
+        const auto& removed = m_recent.front();
+        const auto from = m_recent_totals.find(removed.target_id);
+        subtract(from->second, removed.counts);
         if (from->second.empty())
-            m_before.erase(from);
-        m_spans.pop_front();
-        m_is_stale = true;
+            m_recent_totals.erase(from);
+        m_recent.pop_front();
+        m_is_baseline_stale = true;
     }
 }
 
@@ -168,77 +166,78 @@
 {
     const auto found = m_owners.find(target_id);
     return found == m_owners.end() ? std::string()
-                                   : found->second.trial.reason();
+                                   : found->second.regression.reason();
 }
 
-release_proof rollout_judge::proof() const
+noninferiority_test rollout_judge::release_test() const
 {
-    release_proof sum;
-    std::size_t well = 0;
-    std::size_t suspect = 0;
+    noninferiority_test sum;
+    std::size_t well_count = 0;
+    std::size_t regressed = 0;
     for (const auto& [id, state] : m_owners)
     {
-        if (state.last.release != m_wanted || state.proof.runs() == 0)
+        if (state.last.release != m_canary || state.noninferiority.runs() == 0)
             continue;
-        if (m_suspects.contains(id))
+        if (m_regressed.contains(id))
         {
-            ++suspect;
+            ++regressed;
             continue;
         }
-        ++well;
-        sum += state.proof;
+        ++well_count;
+        sum += state.noninferiority;
     }
-    // A host that is bad alone speaks neither way, but most have to do well.
-    return well > suspect ? sum : release_proof();
+    // Regressed targets are left out, but more than half must do well.
+    return well_count > regressed ? sum : noninferiority_test();
 }
 
-bool rollout_judge::gave_too_many_bad() const
+bool rollout_judge::has_too_many_bad_runs() const
 {
-    double worst = 0;
-    release_proof all;
-    std::vector<const release_proof*> each_target;
+    double worst_excess = 0;
+    noninferiority_test all;
+    std::vector<const noninferiority_test*> each_target;
     for (const auto& [id, state] : m_owners)
-        if (state.last.release == m_wanted && state.proof.runs() > 0)
-            each_target.push_back(&state.proof);
-    const release_proof* left_out = nullptr;
+        if (state.last.release == m_canary && state.noninferiority.runs() > 0)
+            each_target.push_back(&state.noninferiority);
+    const noninferiority_test* worst_target = nullptr;
     for (const auto* each : each_target)
-        if (each_target.size() > 1 && each->bad_beyond_chance() > worst)
+        if (each_target.size() > 1 && each->excess_bad_runs() > worst_excess)
         {
-            worst = each->bad_beyond_chance();
-            left_out = each;
+            worst_excess = each->excess_bad_runs();
+            worst_target = each;
         }
     for (const auto* each : each_target)
-        if (each != left_out)
+        if (each != worst_target)
             all += *each;
-    return all.bad_beyond_chance() >= most_bad;
+    return all.excess_bad_runs() >= max_excess_bad_runs;
 }
 
 bool rollout_judge::is_bad(std::size_t targets, time_point now) const
 {
-    if (gave_too_many_bad())
+    if (has_too_many_bad_runs())
         return true;
     const auto needed =
-        std::max<std::size_t>(1, std::min(targets, suspects_needed));
-    std::vector<double> against(m_suspects.size(), target_trial::threshold);
-    std::size_t well = 0;
+        std::max<std::size_t>(1, std::min(targets, min_regressed_targets));
+    std::vector<double> scores(m_regressed.size(),
+                               target_regression_test::threshold);
+    std::size_t well_count = 0;
     for (const auto& [id, state] : m_owners)
     {
-        if (state.last.release != m_wanted || now >= state.ran + ran_lately ||
-            m_suspects.contains(id))
+        if (state.last.release != m_canary ||
+            now >= state.ran_at + recent_run_window || m_regressed.contains(id))
             continue;
-        const double strength = state.trial.strength();
-        if (strength >= least_strength)
-            against.push_back(strength);
+        const double score = state.regression.score();
+        if (score >= min_score)
+            scores.push_back(score);
         else
-            ++well;
+            ++well_count;
     }
-    if (against.size() < needed || against.size() <= well)
+    if (scores.size() < needed || scores.size() <= well_count)
         return false;
-    std::ranges::sort(against, std::greater<>());
+    std::ranges::sort(scores, std::greater<>());
     const double sum = std::accumulate(
-        against.begin(), against.begin() + static_cast<std::ptrdiff_t>(needed),
+        scores.begin(), scores.begin() + static_cast<std::ptrdiff_t>(needed),
         0.0);
-    return sum >= strength_a_target * static_cast<double>(needed);
+    return sum >= min_mean_score * static_cast<double>(needed);
 }
 
 void rollout_judge::begin_stage()
@@ -248,43 +247,44 @@
 
 stage_evidence rollout_judge::evidence() const
 {
-    stage_evidence seen;
-    seen.ended = ended_in(m_stage);
+    stage_evidence result;
+    result.ended = total_ended(m_stage);
     for (const auto& [work, counts] : m_stage)
-        seen.timed += counts.timed();
-    const auto& lately_ran = m_baseline.counts();
-    const auto before = ended_in(lately_ran);
+        result.timed += counts.timed();
+    const auto& baseline_counts = m_baseline.counts();
+    const auto before = total_ended(baseline_counts);
     const auto is_rare = [&](const auto& each)
-    { return each.second.ended * least_part < before; };
-    seen.has_every_class = std::ranges::all_of(
-        lately_ran,
-        [&](const auto& each)
-        {
-            if (is_rare(each))
-                return true;
-            const auto found = m_stage.find(each.first);
-            return found != m_stage.end() && found->second.ended >= least_runs;
-        });
-    const auto shown = proof();
-    seen.is_proven =
-        before >= least_compared &&
+    { return each.second.ended * min_class_divisor < before; };
+    result.has_every_class =
+        std::ranges::all_of(baseline_counts,
+                            [&](const auto& each)
+                            {
+                                if (is_rare(each))
+                                    return true;
+                                const auto found = m_stage.find(each.first);
+                                return found != m_stage.end() &&
+                                       found->second.ended >= min_class_runs;
+                            });
+    const auto test = release_test();
+    result.is_noninferior =
+        before >= min_baseline_runs &&
         std::ranges::all_of(
-            lately_ran, [&](const auto& each)
-            { return is_rare(each) || shown.proves(each.first, m_baseline); });
-    return seen;
+            baseline_counts, [&](const auto& each)
+            { return is_rare(each) || test.passes(each.first, m_baseline); });
+    return result;
 }
 
 std::vector<compared_class> rollout_judge::compared() const
 {
     std::vector<compared_class> all;
-    for (const auto& [work, lately_ran] : m_baseline.counts())
+    for (const auto& [work, baseline_counts] : m_baseline.counts())
     {
-        const auto fresh = m_stage.find(work);
-        all.push_back(
-            {work,
-             fresh == m_stage.end() ? run_counts() : fresh->second,
-             lately_ran,
-             {m_baseline.usual_time(work), m_baseline.tail_from(work)}});
+        const auto found = m_stage.find(work);
+        all.push_back({work,
+                       found == m_stage.end() ? run_counts() : found->second,
+                       baseline_counts,
+                       {m_baseline.slow_threshold(work),
+                        m_baseline.tail_threshold(work)}});
     }
     return all;
 }
@@ -297,11 +297,11 @@
         [&](const auto& each)
         {
             const auto& state = each.second;
-            if (state.last.release != m_settled ||
+            if (state.last.release != m_stable ||
                 std::ranges::find(owners, state.last.owner) == owners.end() ||
-                now > state.heard + gone_after)
+                now > state.reported_at + report_timeout)
                 return true;
-            return state.last.running == 0 && now > state.busy + quiet_for;
+            return state.last.running == 0 && now > state.busy_at + idle_after;
         });
 }
 
--- a/src/rollout/rollout_plan.cpp
+++ b/src/rollout/rollout_plan.cpp
@@ -9,62 +9,63 @@
 namespace
 {
 
-struct stage_entry
+struct stage_settings
 {
-    double share;   ///< of all calls; 0: half of the exposure
-    double until;   ///< part of the order's time at which it may end
-    bool all_terms; ///< every class of work must have been seen, and warm
-    /** What comes after it is beyond what a bad release may get, so its runs
-     * must show that it is no worse. */
-    bool needs_proof;
+    double share; ///< of all calls; 0: half of the exposure
+    double end;   ///< earliest end, as a part of the order's time
+    /** Whether every class of work needs runs, also at warm targets. */
+    bool needs_all_classes;
+    /** Whether the release must be shown non-inferior, since the next stage
+     * gives more than a bad release may get. */
+    bool needs_noninferiority;
 };
 
-constexpr std::array<stage_entry, 5> stages{{{0, 0.25, false, false},
-                                             {0, 0.5, true, true},
-                                             {0.25, 0.58, true, true},
-                                             {0.5, 0.66, true, true},
-                                             {1, 0.75, false, false}}};
+constexpr std::array<stage_settings, 5> stages{{{0, 0.25, false, false},
+                                                {0, 0.5, true, true},
+                                                {0.25, 0.58, true, true},
+                                                {0.5, 0.66, true, true},
+                                                {1, 0.75, false, false}}};
 
-// Where several are tried at once a release that always fails is known to be
-// bad, and not one of its hosts, after some nine runs at each.
-constexpr std::size_t spread_targets = rollout_judge::suspects_needed;
-// Twelve runs of the rarest class and some more of the others.
-constexpr std::uint32_t least_ended = 30;
-// Nodes have heard of a stage within 0.1 s and owners report twice a second.
-constexpr milliseconds least_stage(700);
-constexpr milliseconds least_last_stage(1'200);
-// What is not known to be good by then is not made the only release: the calls
-// of a whole service are worth more than an order's time.
-constexpr double last_chance = 0.92;
+// Enough targets to tell a bad release from a bad host within a few runs each.
+constexpr std::size_t spread_targets = rollout_judge::min_regressed_targets;
+// Runs in a stage: allows for some of each class of work.
+constexpr std::uint32_t min_runs = 30;
+// Longer than a stage takes to reach all nodes, plus a report of each owner.
+constexpr milliseconds min_stage_duration(700);
+constexpr milliseconds min_last_stage_duration(1'200);
+// Part of the order's time after which a roll-out that has not reached its last
+// stage gives up.
+constexpr double give_up_part = 0.92;
 
-const stage_entry& entry_of(rollout_stage stage)
+const stage_settings& settings_of(rollout_stage stage)
 {
     return stages[static_cast<std::size_t>(stage)];
 }
 
-bool is_seen_enough(rollout_stage stage, const stage_evidence& seen)
+bool has_enough_evidence(rollout_stage stage, const stage_evidence& seen)
 {
-    if (seen.ended < least_ended)
+    if (seen.ended < min_runs)
         return false;
-    const auto& entry = entry_of(stage);
-    if (entry.needs_proof && !seen.is_proven)
+    const auto& settings = settings_of(stage);
+    if (settings.needs_noninferiority && !seen.is_noninferior)
         return false;
-    return !entry.all_terms ||
-           (seen.timed >= least_ended && seen.has_every_class);
+    return !settings.needs_all_classes ||
+           (seen.timed >= min_runs && seen.has_every_class);
 }
 
 } // namespace
 
-stage_terms
-terms_of(rollout_stage stage, double exposure, std::size_t settled_targets)
+stage_allowance
+allowance_of(rollout_stage stage, double exposure, std::size_t settled_targets)
 {
     constexpr double half = 0.5;
-    const auto& entry = entry_of(stage);
-    const double share = entry.share > 0 ? entry.share : exposure * half;
-    const double bearing = share * static_cast<double>(settled_targets);
-    // At few targets each bears a little more than an old one, not less.
-    const double wanted = stage <= rollout_stage::loaded ? std::floor(bearing)
-                                                         : std::ceil(bearing);
+    const auto& settings = settings_of(stage);
+    const double share = settings.share > 0 ? settings.share : exposure * half;
+    const double load = share * static_cast<double>(settled_targets);
+    // Rounded down in the first stages, where each canary target gets no less
+    // than a stable one.
+    const double wanted =
+        stage <= rollout_stage::loaded ? std::floor(load) : std::ceil(load);
     const auto targets = std::max<std::size_t>(
         stage == rollout_stage::spread ? spread_targets : 1,
         static_cast<std::size_t>(wanted));
@@ -75,23 +76,26 @@
                        const rollout_progress& progress,
                        time_point now)
 {
-    const auto part_of = [&](double part)
+    const auto time_at = [&](double part)
     {
         return known.begun +
                std::chrono::duration_cast<duration>(known.order.time * part);
     };
     const bool is_last = known.stage == rollout_stage::all;
-    if (!is_last && now >= part_of(last_chance))
+    if (!is_last && now >= time_at(give_up_part))
         return rollout_move::give_up;
-    const auto least = is_last ? least_last_stage : least_stage;
-    if (progress.wanted_targets == 0 || now < progress.stage_begun + least ||
-        now < part_of(entry_of(known.stage).until))
+    const auto min_duration =
+        is_last ? min_last_stage_duration : min_stage_duration;
+    if (progress.wanted_targets == 0 ||
+        now < progress.stage_begun + min_duration ||
+        now < time_at(settings_of(known.stage).end))
         return rollout_move::wait;
     if (is_last)
         return progress.settled_is_idle ? rollout_move::complete
                                         : rollout_move::wait;
-    return is_seen_enough(known.stage, progress.seen) ? rollout_move::next_stage
-                                                      : rollout_move::wait;
+    return has_enough_evidence(known.stage, progress.seen)
+               ? rollout_move::next_stage
+               : rollout_move::wait;
 }
 
 } // namespace tillerhall
--- a/src/rollout/rollout_record.cpp
+++ b/src/rollout/rollout_record.cpp
@@ -13,27 +13,29 @@
 
 namespace json = boost::json;
 
-/** Adds names, sorted and bounded, so that every node keeps the same ones. */
+/** Adds names, sorted and limited, so that all nodes keep the same ones.
+ * @return whether @p to changed. */
 bool add_names(std::vector<std::string>& to,
                const std::vector<std::string>& offered,
-               std::size_t most)
+               std::size_t max_count)
 {
     std::set<std::string> all(to.begin(), to.end());
     all.insert(offered.begin(), offered.end());
     std::vector<std::string> merged(all.begin(), all.end());
-    merged.resize(std::min(merged.size(), most));
+    merged.resize(std::min(merged.size(), max_count));
     const bool changed = merged != to;
     to = std::move(merged);
     return changed;
 }
 
-/** @return what stays closed when a newer order replaces @p before. */
+/** @return the releases that are closed once a newer order replaces @p before.
+ */
 std::vector<std::string> closed_after(const rollout_record& before)
 {
     auto closed = before.closed;
     if (before.state != rollout_state::completed &&
         before.order.release != before.settled)
-        add_names(closed, {before.order.release}, rollout_record::most_closed);
+        add_names(closed, {before.order.release}, rollout_record::max_closed);
     return closed;
 }
 
@@ -41,17 +43,17 @@
 {
     auto next = offered;
     if (next.settled.empty())
-        next.settled = settled_release(known);
-    add_names(next.closed, closed_after(known), rollout_record::most_closed);
-    // An order for it opens a release again.
+        next.settled = stable_release(known);
+    add_names(next.closed, closed_after(known), rollout_record::max_closed);
+    // A new order reopens its release.
     std::erase(next.closed, next.order.release);
     known = std::move(next);
     return true;
 }
 
-/** Takes the greater of two. @return whether @p to changed. */
+/** Sets @p to to the greater of both. @return whether @p to changed. */
 template <class T>
-bool raise(T& to, const T& offered)
+bool take_greater(T& to, const T& offered)
 {
     if (!(to < offered))
         return false;
@@ -59,12 +61,12 @@
     return true;
 }
 
-/** Reads a span that adding to a moment cannot overflow. */
+/** Reads a duration, limited so that adding it to a time cannot overflow. */
 milliseconds span_from(const json::value& value)
 {
-    constexpr std::chrono::hours most{24 * 366};
+    constexpr std::chrono::hours max_span{24 * 366};
     const auto number = json::value_to<std::int64_t>(value);
-    if (number < 0 || number > std::chrono::milliseconds(most).count())
+    if (number < 0 || number > std::chrono::milliseconds(max_span).count())
         throw std::out_of_range("no span of a roll-out");
     return milliseconds(number);
 }
@@ -85,7 +87,7 @@
     if (offered.order.revision != known.order.revision)
         return offered.order.revision > known.order.revision &&
                replace(known, offered);
-    bool changed = raise(known.stage, offered.stage);
+    bool changed = take_greater(known.stage, offered.stage);
     if (offered.state > known.state)
     {
         known.state = offered.state;
@@ -99,9 +101,9 @@
     }
     known.begun = std::min(known.begun, offered.begun);
     changed |= add_names(known.suspects, offered.suspects,
-                         rollout_record::most_suspects);
+                         rollout_record::max_regressed_targets);
     changed |=
-        add_names(known.closed, offered.closed, rollout_record::most_closed);
+        add_names(known.closed, offered.closed, rollout_record::max_closed);
     return changed;
 }
 
@@ -110,14 +112,14 @@
     if (known.state == rollout_state::rolled_back &&
         release == known.order.release)
         return true;
-    // Its targets end without a word once the state is told.
+    // Targets of the old release may stop without notice in this state.
     if (known.state == rollout_state::completed && release == known.settled &&
         release != known.order.release)
         return true;
     return std::ranges::find(known.closed, release) != known.closed.end();
 }
 
-const std::string& settled_release(const rollout_record& known)
+const std::string& stable_release(const rollout_record& known)
 {
     return known.state == rollout_state::completed ? known.order.release
                                                    : known.settled;
--- a/src/rollout/rollout_view.cpp
+++ b/src/rollout/rollout_view.cpp
@@ -12,10 +12,10 @@
 std::string rollout_view::settled(const std::string& service) const
 {
     const auto* known = find(service);
-    if (known != nullptr && !settled_release(*known).empty())
-        return settled_release(*known);
-    const auto found = m_settled.find(service);
-    return found == m_settled.end() ? std::string() : found->second;
+    if (known != nullptr && !stable_release(*known).empty())
+        return stable_release(*known);
+    const auto found = m_stable.find(service);
+    return found == m_stable.end() ? std::string() : found->second;
 }
 
 bool rollout_view::is_closed(const std::string& service,
@@ -37,19 +37,19 @@
     if (known == nullptr || is_ended(known->state))
         return release_standing::guest;
     if (known->state == rollout_state::unread)
-        return release_standing::closed; // it may have been rolled back
+        return release_standing::closed; // may have been rolled back before
     return release == known->order.release ? release_standing::trial
                                            : release_standing::closed;
 }
 
-stage_terms rollout_view::terms(const std::string& service,
-                                std::size_t settled_targets) const
+stage_allowance rollout_view::terms(const std::string& service,
+                                    std::size_t settled_targets) const
 {
     const auto* known = find(service);
     const auto stage = known == nullptr || is_ended(known->state)
                            ? rollout_stage::spread
                            : known->stage;
-    return terms_of(stage, m_exposure, settled_targets);
+    return allowance_of(stage, m_exposure, settled_targets);
 }
 
 } // namespace tillerhall
--- a/tests/unit/rollout_records.cpp
+++ b/tests/unit/rollout_records.cpp
@@ -1,5 +1,4 @@
-/** @file Records of roll-outs: merging, reading, and which release gets what.
- */
+/** @file Tests of roll-out records: merge, JSON, and the routing by them. */
 #include "tillerhall/core/random.hpp"
 #include "tillerhall/rollout/rollout_record.hpp"
 #include "tillerhall/rollout/rollout_view.hpp"
@@ -43,10 +42,10 @@
     return boost::json::serialize(to_json(record, start));
 }
 
-/** Members with a target each; odd ones of release v2. */
-struct two_releases
+/** Members with one target each; odd ports have release v2, others v1. */
+struct mesh_with_two_releases
 {
-    two_releases()
+    mesh_with_two_releases()
         : members(record(1, "v1"))
     {
         for (std::uint16_t port = 2; port <= 24; ++port)
@@ -82,7 +81,7 @@
 
 } // namespace
 
-TEST_CASE("records of roll-outs merge alike in any order")
+TEST_CASE("records of roll-outs merge to the same in any order")
 {
     random_source random(7);
     for (int round = 0; round < 300; ++round)
@@ -90,27 +89,27 @@
         std::vector<rollout_record> all;
         for (int i = 0; i < 6; ++i)
             all.push_back(random_record(random));
-        auto one = all.front();
+        auto in_order = all.front();
         for (const auto& each : all)
-            merge(one, each);
+            merge(in_order, each);
         std::ranges::shuffle(all, random);
-        auto other = all.front();
+        auto shuffled = all.front();
         for (const auto& each : all)
-            merge(other, each);
-        // What was closed by orders that one of them never met may differ.
-        one.closed.clear();
-        other.closed.clear();
-        CHECK(text_of(one) == text_of(other));
-        CHECK_FALSE(merge(one, one));
+            merge(shuffled, each);
+        // Closed releases depend on the orders that each record has met.
+        in_order.closed.clear();
+        shuffled.closed.clear();
+        CHECK(text_of(in_order) == text_of(shuffled));
+        CHECK_FALSE(merge(in_order, in_order));
     }
 }
 
-TEST_CASE("a state never goes back, and a newer order begins anew")
+TEST_CASE("a state never goes back, and a newer order restarts it")
 {
     auto known = ordered(5);
-    auto back = ordered(5);
-    back.state = rollout_state::rolled_back;
-    CHECK(merge(known, back));
+    auto rolled_back = ordered(5);
+    rolled_back.state = rollout_state::rolled_back;
+    CHECK(merge(known, rolled_back));
     CHECK_FALSE(merge(known, ordered(5)));
     CHECK(known.state == rollout_state::rolled_back);
     CHECK(is_closed(known, "v2"));
@@ -119,13 +118,13 @@
     CHECK(known.state == rollout_state::running);
     CHECK(is_closed(known, "v2"));
     CHECK_FALSE(is_closed(known, "v3"));
-    // An operator who orders it again opens it again.
+    // A new order reopens a release.
     CHECK(merge(known, ordered(12, "v2")));
     CHECK_FALSE(is_closed(known, "v2"));
     CHECK(is_closed(known, "v3"));
 }
 
-TEST_CASE("a record comes back from its compact form, and bad ones throw")
+TEST_CASE("a record survives JSON, and malformed ones throw")
 {
     auto sent = ordered(5);
     sent.suspects = {"i-1"};
@@ -136,8 +135,7 @@
     const auto later = now + milliseconds(700);
     const auto read = rollout_record_from_json(text, later);
     CHECK(read.begun == start + milliseconds(700));
-    CHECK(text_of(read) !=
-          text_of(sent)); // only by the age that the way has added
+    CHECK(text_of(read) != text_of(sent)); // differs by the time in transit
     CHECK(read.order.release == "v2");
     CHECK(read.suspects == sent.suspects);
     CHECK(read.closed == sent.closed);
@@ -149,9 +147,9 @@
         CHECK_THROWS(rollout_record_from_json(boost::json::parse(bad), now));
 }
 
-TEST_CASE("what releases get follows the roll-out's state and stage")
+TEST_CASE("targets for calls follow the roll-out's state and stage")
 {
-    const two_releases mesh;
+    const mesh_with_two_releases mesh;
     auto known = ordered(5);
 
     known.state = rollout_state::unread;
@@ -187,30 +185,30 @@
     CHECK(mesh.view(known).on_trial("perceel").members.empty());
 }
 
-TEST_CASE("a newcomer that nobody ordered gets the least share only")
+TEST_CASE("a release without an order gets the least share only")
 {
-    const two_releases mesh;
+    const mesh_with_two_releases mesh;
     const service_targets view(mesh.members,
                                rollout_view({}, {{"perceel", "v2"}}, 0.1));
     CHECK(all_of_release(view.of("perceel"), "v2"));
     CHECK(all_of_release(view.on_trial("perceel").members, "v1"));
     CHECK(view.on_trial("perceel").share == 0.05);
-    // A node that has just started goes by what most targets have.
-    const service_targets fresh(mesh.members);
-    CHECK(all_of_release(fresh.of("perceel"), "v1"));
-    CHECK(fresh.on_trial("perceel").members.size() == 3);
+    // A node that has just started takes the release of most targets as stable.
+    const service_targets without_view(mesh.members);
+    CHECK(all_of_release(without_view.of("perceel"), "v1"));
+    CHECK(without_view.on_trial("perceel").members.size() == 3);
 }
 
-TEST_CASE("a release that a service has alone gets its calls, ordered or not")
+TEST_CASE("the only release of a service gets its calls without an order")
 {
-    member_list members(two_releases::record(1, "v3"));
+    member_list members(mesh_with_two_releases::record(1, "v3"));
     CHECK(service_targets(members).of("perceel").size() == 1);
-    auto back = ordered(5);
-    back.state = rollout_state::rolled_back;
-    const rollout_view known({{"perceel", back}}, {}, 0.1);
+    auto rolled_back = ordered(5);
+    rolled_back.state = rollout_state::rolled_back;
+    const rollout_view known({{"perceel", rolled_back}}, {}, 0.1);
     CHECK(service_targets(members, known).of("perceel").size() == 1);
-    // But not the one that was rolled back, and none that is not proved.
-    member_list bad(two_releases::record(1, "v2"));
+    // But not one that was rolled back, nor a canary.
+    member_list bad(mesh_with_two_releases::record(1, "v2"));
     CHECK(service_targets(bad, known).of("perceel").empty());
     const rollout_view running({{"perceel", ordered(5)}}, {}, 0.1);
     CHECK(service_targets(bad, running).of("perceel").empty());
