--- a/include/tillerhall/quota/limit_news.hpp
+++ b/include/tillerhall/quota/limit_news.hpp
@@ -1,4 +1,4 @@
-/** @file Whether limits are worth telling entries before they ask. */
+/** @file Which changes of limits a ledger announces at once. */
 #pragma once
 
 #include "tillerhall/core/time.hpp"
@@ -12,20 +12,21 @@
 {
 
 /**
- * What the entries of a failure domain were told of limits. An entry that gets
- * few calls tells its counts rarely, and hundreds of such would each let a call
- * pass before they hear: so a limit that is new, or much lower, is told to all
- * at once. Smaller changes come with the answers to counts. Pure.
+ * The limits that the entries of a failure domain last received. A limit that
+ * is new or much lower is announced to all at once: entries with few calls send
+ * counts rarely, and many of them would each admit a call before they receive
+ * the limit. Smaller changes go with the answers to counts. Does no I/O.
  */
 class limit_news
 {
 public:
-    /** @return whether @p limits are to be told now; notes them if so. */
+    /** @return whether @p limits must be announced now. Stores them, unless an
+     * announcement is due but too soon after the last. */
     bool take(const std::vector<quota_limit>& limits, time_point now);
 
 private:
-    std::map<std::string, double> m_told; ///< shares, by account
-    time_point m_told_at{};
+    std::map<std::string, double> m_announced; ///< admitted shares, by account
+    time_point m_announced_at{};
 };
 
 } // namespace tillerhall
