--- a/include/tillerhall/quota/quota_gate.hpp
+++ b/include/tillerhall/quota/quota_gate.hpp
@@ -1,10 +1,10 @@
-/** @file Which calls of an account an entry lets pass. */
+/** @file Admission of accounts' calls at an entry by their quotas. */
 #pragma once
 
 #include "tillerhall/core/random.hpp"
 #include "tillerhall/core/token_bucket.hpp"
 #include "tillerhall/quota/quota_message.hpp"
-#include "tillerhall/quota/quota_slack.hpp"
+#include "tillerhall/quota/quota_overage.hpp"
 #include "tillerhall/routing/client_accounts.hpp"
 
 #include <map>
@@ -16,68 +16,70 @@
 {
 
 /**
- * An entry's part of the quotas: it counts, and lets pass the share that a
- * ledger told. While no ledger answers it knows nothing of what others spend,
- * and ledgers that others reach give out all there is: so it lets pass its
- * equal part of half of the slack, beginning with none. Pure.
+ * Counts the calls of accounts at an entry and admits the share that a ledger
+ * sent. While no ledger answers, other entries may use the whole quota, so this
+ * one admits only an equal part of the overage that is not in the ledgers'
+ * buckets, starting without tokens. Does no I/O.
  */
 class quota_gate
 {
 public:
-    /** So long without an answer of any ledger, though asked. */
-    static constexpr std::chrono::seconds lapse{2};
-    static constexpr unsigned quiet_turns = 4;
+    /** Time without an answer after which no ledger counts as reachable. */
+    static constexpr std::chrono::seconds ledger_timeout{2};
+    /** Calls of `take_due` between messages without counts. */
+    static constexpr unsigned idle_report_period = 4;
 
-    quota_gate(const quota_slack& slack, std::uint64_t seed)
-        : m_slack(slack)
+    quota_gate(const quota_overage& overage, std::uint64_t seed)
+        : m_overage(overage)
         , m_random(seed)
     {
     }
 
     /**
      * Counts a call of @p account.
-     * @param nodes that live, this one included
-     * @return nothing if it may pass; else when its client may come back.
+     * @param nodes live nodes, this one included
+     * @return nothing if the call is admitted; else the time after which its
+     * client may retry.
      */
     std::optional<duration>
     ask(const client_account& account, std::size_t nodes, time_point now);
 
-    /** A call that had passed reached no target. */
+    /** Reverses the count of an admitted call that reached no target. */
     void give_back(const client_account& account);
 
     /**
-     * Asked a few times a second. @return what a ledger is to be told now;
-     * nothing if there is no news. Who has none asks all the same each
-     * `quiet_turns`, so that it knows whether a ledger can be reached before an
-     * account is pressed.
+     * Called a few times a second. @return the counts to send to a ledger;
+     * nothing if no message is due. Without counts or limits one is due at each
+     * `idle_report_period`-th call, which shows whether a ledger is reachable.
      */
     std::optional<std::vector<quota_counts>> take_due();
 
-    /** @return what came since the last time, for a ledger. */
-    std::vector<quota_counts> take_news();
+    /** @return the counts since the last message, for a ledger. */
+    std::vector<quota_counts> take_counts();
 
-    /** A ledger did not get these counts; they are told again. */
-    void restore(const std::vector<quota_counts>& news);
+    /** Adds back counts that no ledger received. */
+    void restore(const std::vector<quota_counts>& counts);
 
-    /** A ledger told which accounts are limited; all others are not. */
+    /** Sets the limits that a ledger sent; other accounts have none. */
     void told(const std::vector<quota_limit>& limits);
 
-    /** No ledger answered. */
+    /** Records that no ledger answered. */
     void unanswered(time_point now);
 
 private:
-    bool is_alone(time_point now) const;
-    std::optional<duration>
-    ask_alone(const client_account& account, std::size_t nodes, time_point now);
-    /** @return a time to come back, different for each that is told. */
-    duration back_after(const quota_limit& limit);
+    bool is_cut_off(time_point now) const;
+    std::optional<duration> admit_without_ledger(const client_account& account,
+                                                 std::size_t nodes,
+                                                 time_point now);
+    /** @return a randomized time until the client may retry. */
+    duration retry_after(const quota_limit& limit);
 
-    quota_slack m_slack;
-    std::map<std::string, quota_counts> m_news;
+    quota_overage m_overage;
+    std::map<std::string, quota_counts> m_counts;
     std::map<std::string, quota_limit> m_limits;
-    std::map<std::string, token_bucket> m_parts; ///< while alone
+    std::map<std::string, token_bucket> m_own_buckets; ///< while cut off
     std::optional<time_point> m_unanswered_since;
-    unsigned m_quiet = 0; ///< turns without news
+    unsigned m_idle_calls = 0; ///< calls of `take_due` without counts
     random_source m_random;
 };
 
--- a/include/tillerhall/quota/quota_ledger.hpp
+++ b/include/tillerhall/quota/quota_ledger.hpp
@@ -1,8 +1,8 @@
-/** @file What the accounts have spent over all nodes, as one ledger counts. */
+/** @file Token buckets of accounts over all nodes. */
 #pragma once
 
 #include "tillerhall/quota/quota_message.hpp"
-#include "tillerhall/quota/quota_slack.hpp"
+#include "tillerhall/quota/quota_overage.hpp"
 #include "tillerhall/routing/client_accounts.hpp"
 
 #include <map>
@@ -13,35 +13,34 @@
 {
 
 /**
- * Counts behind the fact. The load it answers: one account sends many times its
- * usual, through all nodes, while tens of others stay far below their limits
- * and shall not cost a question a call. So entries let calls pass and tell
- * their counts a few times a second; a bucket an account goes below zero when
- * more was spent than it had, and what is told back is the share of its calls
- * by which it comes back to zero within a second. What was let through too much
- * meanwhile is paid back first, so the sum over a window is the burst, the rate
- * and what passes within one delay of the counts.
+ * Limits an account that sends far more than its quota through all nodes,
+ * without a request to a ledger for each call. Entries admit calls and send
+ * their counts a few times a second. The bucket of an account goes below zero
+ * when too much was admitted; the ledger answers with the share of calls that
+ * brings it back to zero within a second. So the calls admitted in a window are
+ * at most burst and rate plus what is admitted during one delay of the counts.
  *
- * Half of the slack is in the buckets, the other half covers that delay. A
- * ledger that has just begun knows nothing of what was spent before, so its
- * buckets begin with the tokens of a second. Pure.
+ * Half of the overage is in the buckets, the other half covers that delay. A
+ * new ledger does not know earlier counts, so its buckets start with the tokens
+ * of one second. Does no I/O.
  */
 class quota_ledger
 {
 public:
-    explicit quota_ledger(quota_slack slack = {})
-        : m_slack(slack)
+    explicit quota_ledger(quota_overage overage = {})
+        : m_overage(overage)
     {
     }
 
-    /** Takes the accounts of the version in force; changed quotas hold now. */
+    /** Sets the accounts of the active configuration version; changed quotas
+     * apply at once. */
     void set_accounts(const std::vector<client_account>& accounts,
                       time_point now);
 
-    /** Counts what entries, or ledgers of other failure domains, tell. */
+    /** Adds counts of entries, or of ledgers of other failure domains. */
     void add(const std::vector<quota_counts>& counts, time_point now);
 
-    /** @return the accounts whose calls may not all pass now. */
+    /** @return limits of the accounts whose calls are not all admitted now. */
     std::vector<quota_limit> limits(time_point now) const;
 
     /** @return the level of an account's bucket, for other ledgers. */
@@ -53,19 +52,19 @@
     {
         account_quota quota;
         double level = 0;
-        double asked_per_s = 0;  ///< decaying
-        double passed_per_s = 0; ///< decaying
-        time_point counted{};    ///< up to when both are worked out
+        double requested_per_s = 0; ///< decaying
+        double admitted_per_s = 0;  ///< decaying
+        time_point updated_at{};    ///< of the values above
     };
 
-    double rate_of(const bucket& of) const noexcept;
-    double most_in(const bucket& of) const noexcept;
-    /** @return the same bucket at @p now. */
-    bucket at(const bucket& of, time_point now) const;
-    /** @return the share of its calls that may pass. */
-    static double share(double rate, const bucket& of);
+    double rate_of(const bucket& state) const noexcept;
+    double capacity_of(const bucket& state) const noexcept;
+    /** @return the bucket as it is at @p now. */
+    bucket advanced_to(const bucket& state, time_point now) const;
+    /** @return the share of its calls to admit. */
+    static double admitted_share(double rate, const bucket& state);
 
-    quota_slack m_slack;
+    quota_overage m_overage;
     std::map<std::string, bucket> m_buckets; ///< limited accounts only
 };
 
--- a/include/tillerhall/quota/quota_message.hpp
+++ b/include/tillerhall/quota/quota_message.hpp
@@ -1,4 +1,4 @@
-/** @file What entries and ledgers of quotas tell each other. */
+/** @file Messages between entries and quota ledgers. */
 #pragma once
 
 #include "tillerhall/core/time.hpp"
@@ -13,30 +13,30 @@
 namespace tillerhall
 {
 
-/** What one account's calls came to since the last word of the same sender. */
+/** One account's calls since the sender's last message. */
 struct quota_counts
 {
     std::string account;
     std::int64_t asked = 0; ///< calls that carried one of its keys
-    /** Of these, what may run; below zero where calls that were counted before
+    /** Calls that were admitted; negative if more of the calls counted earlier
      * did not run. */
     std::int64_t admitted = 0;
-    std::optional<double> level; ///< of its bucket; told between ledgers
+    std::optional<double> level; ///< of its bucket; between ledgers only
 };
 
-/** How much of an account's calls may pass until the next word. */
+/** The share of an account's calls to admit until the next message. */
 struct quota_limit
 {
     std::string account;
-    double admitted = 1; ///< share of its calls
-    duration wait{};     ///< until its bucket has a token again
-    double crowd = 1;    ///< how many times its rate is asked
+    double admitted = 1;     ///< share of its calls
+    duration wait{};         ///< until its bucket has a token again
+    double demand_ratio = 1; ///< requested rate, as a multiple of the quota
 };
 
 boost::json::value to_json(const std::vector<quota_counts>& sent);
 boost::json::value to_json(const std::vector<quota_limit>& sent);
 
-/** Reading throws std::exception on a bad message; the RPC layer counts it. */
+/** Throw std::exception on a malformed message; the RPC layer counts it. */
 std::vector<quota_counts>
 quota_counts_from_json(const boost::json::value& read);
 std::vector<quota_limit> quota_limits_from_json(const boost::json::value& read);
--- a/src/quota/quota_gate.cpp
+++ b/src/quota/quota_gate.cpp
@@ -7,15 +7,15 @@
 namespace
 {
 
-constexpr milliseconds least_back(200);
-// A client that waits longer than its call's time does not come back.
-constexpr std::chrono::seconds most_back(5);
+constexpr milliseconds min_retry_after(200);
+// Clients don't retry later than their call's time.
+constexpr std::chrono::seconds max_retry_after(5);
 
 } // namespace
 
-bool quota_gate::is_alone(time_point now) const
+bool quota_gate::is_cut_off(time_point now) const
 {
-    return m_unanswered_since && now >= *m_unanswered_since + lapse;
+    return m_unanswered_since && now >= *m_unanswered_since + ledger_timeout;
 }
 
 std::optional<duration> quota_gate::ask(const client_account& account,
@@ -24,89 +24,94 @@
 {
     if (!account.quota.is_limited())
         return std::nullopt;
-    auto& news = m_news[account.name];
-    news.account = account.name;
-    ++news.asked;
-    if (is_alone(now))
+    auto& counts = m_counts[account.name];
+    counts.account = account.name;
+    ++counts.asked;
+    if (is_cut_off(now))
     {
-        const auto back = ask_alone(account, nodes, now);
-        news.admitted += back ? 0 : 1;
-        return back;
+        const auto delay = admit_without_ledger(account, nodes, now);
+        counts.admitted += delay ? 0 : 1;
+        return delay;
     }
     const auto limit = m_limits.find(account.name);
     if (limit != m_limits.end() && m_random.unit() >= limit->second.admitted)
-        return back_after(limit->second);
-    ++news.admitted;
+        return retry_after(limit->second);
+    ++counts.admitted;
     return std::nullopt;
 }
 
-std::optional<duration> quota_gate::ask_alone(const client_account& account,
-                                              std::size_t nodes,
-                                              time_point now)
+std::optional<duration> quota_gate::admit_without_ledger(
+    const client_account& account, std::size_t nodes, time_point now)
 {
-    const auto share = m_slack.share * (1 - quota_slack::in_buckets) /
+    const auto share = m_overage.share * (1 - quota_overage::ledger_part) /
                        static_cast<double>(std::max<std::size_t>(1, nodes));
     const double rate = account.quota.per_s * share;
-    auto& part =
-        m_parts.try_emplace(account.name, token_bucket(rate, 0)).first->second;
-    part.set_rate(rate, std::max(1.0, account.quota.burst * share));
-    if (part.take(now))
+    auto& bucket =
+        m_own_buckets.try_emplace(account.name, token_bucket(rate, 0))
+            .first->second;
+    bucket.set_rate(rate, std::max(1.0, account.quota.burst * share));
+    if (bucket.take(now))
         return std::nullopt;
-    return std::clamp<duration>(part.wait(now), least_back, most_back);
+    return std::clamp<duration>(bucket.wait(now), min_retry_after,
+                                max_retry_after);
 }
 
-duration quota_gate::back_after(const quota_limit& limit)
+duration quota_gate::retry_after(const quota_limit& limit)
 {
-    // Those who are refused in a second come back spread over as many seconds
-    // as the account asks for more than it has.
-    const std::chrono::duration<double> spread(limit.crowd * m_random.unit());
-    const auto back = limit.wait + std::chrono::duration_cast<duration>(spread);
-    return std::clamp<duration>(back, least_back, most_back);
+    // The retries of one second's refused calls spread over as many seconds as
+    // the requested rate is a multiple of the quota.
+    const std::chrono::duration<double> spread(limit.demand_ratio *
+                                               m_random.unit());
+    const auto delay =
+        limit.wait + std::chrono::duration_cast<duration>(spread);
+    return std::clamp<duration>(delay, min_retry_after, max_retry_after);
 }
 
 void quota_gate::give_back(const client_account& account)
 {
     if (!account.quota.is_limited())
         return;
-    auto& news = m_news[account.name];
-    news.account = account.name;
-    --news.admitted;
+    auto& counts = m_counts[account.name];
+    counts.account = account.name;
+    --counts.admitted;
 }
 
 std::optional<std::vector<quota_counts>> quota_gate::take_due()
 {
-    // Who is limited asks on, so that it hears when that is over.
-    if (m_news.empty() && m_limits.empty() && ++m_quiet < quiet_turns)
+    // While limits are set, messages go on so that the entry receives their
+    // end.
+    if (m_counts.empty() && m_limits.empty() &&
+        ++m_idle_calls < idle_report_period)
         return std::nullopt;
-    m_quiet = 0;
-    return take_news();
+    m_idle_calls = 0;
+    return take_counts();
 }
 
-std::vector<quota_counts> quota_gate::take_news()
+std::vector<quota_counts> quota_gate::take_counts()
 {
-    std::vector<quota_counts> news;
-    news.reserve(m_news.size());
-    for (auto& [name, each] : m_news)
-        news.push_back(std::move(each));
-    m_news.clear();
-    return news;
+    std::vector<quota_counts> counts;
+    counts.reserve(m_counts.size());
+    for (auto& [name, each] : m_counts)
+        counts.push_back(std::move(each));
+    m_counts.clear();
+    return counts;
 }
 
-void quota_gate::restore(const std::vector<quota_counts>& news)
+void quota_gate::restore(const std::vector<quota_counts>& counts)
 {
-    for (const auto& each : news)
+    for (const auto& each : counts)
     {
-        auto& counts = m_news[each.account];
-        counts.account = each.account;
-        counts.asked += each.asked;
-        counts.admitted += each.admitted;
+        auto& merged = m_counts[each.account];
+        merged.account = each.account;
+        merged.asked += each.asked;
+        merged.admitted += each.admitted;
     }
 }
 
 void quota_gate::told(const std::vector<quota_limit>& limits)
 {
     m_unanswered_since.reset();
-    m_parts.clear();
+    m_own_buckets.clear();
     m_limits.clear();
     for (const auto& each : limits)
         m_limits[each.account] = each;
--- a/src/quota/quota_ledger.cpp
+++ b/src/quota/quota_ledger.cpp
@@ -8,14 +8,15 @@
 namespace
 {
 
-// What was spent in advance is paid back within this.
-constexpr double pay_back_s = 1;
-// An entry's counts and the answer to it take about so long.
-constexpr double told_within_s = 0.5;
-// The rate that is asked is a mean over about so long.
-constexpr double asked_over_s = 0.7;
-// Of a new ledger's buckets: nobody knows what was spent before.
-constexpr double first_tokens_s = 1;
+// Time within which a bucket below zero is to reach zero.
+constexpr double repayment_s = 1;
+// Delay between an admitted call and the effect of its count.
+constexpr double report_delay_s = 0.5;
+// Time constant of the decaying mean rates.
+constexpr double rate_window_s = 0.7;
+// Initial level of a new ledger's buckets, in seconds of the rate: earlier
+// counts are not known.
+constexpr double initial_tokens_s = 1;
 
 double seconds(duration span)
 {
@@ -30,26 +31,30 @@
 
 } // namespace
 
-double quota_ledger::rate_of(const bucket& of) const noexcept
+double quota_ledger::rate_of(const bucket& state) const noexcept
 {
-    return of.quota.per_s * (1 + m_slack.share * quota_slack::in_buckets);
+    return state.quota.per_s *
+           (1 + m_overage.share * quota_overage::ledger_part);
 }
 
-double quota_ledger::most_in(const bucket& of) const noexcept
+double quota_ledger::capacity_of(const bucket& state) const noexcept
 {
-    return of.quota.burst * (1 + m_slack.share * quota_slack::in_buckets) +
-           m_slack.calls * quota_slack::in_buckets;
+    return state.quota.burst *
+               (1 + m_overage.share * quota_overage::ledger_part) +
+           m_overage.calls * quota_overage::ledger_part;
 }
 
-quota_ledger::bucket quota_ledger::at(const bucket& of, time_point now) const
+quota_ledger::bucket quota_ledger::advanced_to(const bucket& state,
+                                               time_point now) const
 {
-    auto moved = of;
-    const double passed = std::max(0.0, seconds(now - of.counted));
-    moved.level = std::min(most_in(of), of.level + passed * rate_of(of));
-    moved.asked_per_s *= std::exp(-passed / asked_over_s);
-    moved.passed_per_s *= std::exp(-passed / asked_over_s);
-    moved.counted = std::max(of.counted, now);
-    return moved;
+    auto advanced = state;
+    const double elapsed_s = std::max(0.0, seconds(now - state.updated_at));
+    advanced.level =
+        std::min(capacity_of(state), state.level + elapsed_s * rate_of(state));
+    advanced.requested_per_s *= std::exp(-elapsed_s / rate_window_s);
+    advanced.admitted_per_s *= std::exp(-elapsed_s / rate_window_s);
+    advanced.updated_at = std::max(state.updated_at, now);
+    return advanced;
 }
 
 void quota_ledger::set_accounts(const std::vector<client_account>& accounts,
@@ -63,15 +68,15 @@
         auto& next = kept[each.name];
         const auto known = m_buckets.find(each.name);
         if (known != m_buckets.end())
-            next = at(known->second, now);
+            next = advanced_to(known->second, now);
         next.quota = each.quota;
-        next.counted = now;
+        next.updated_at = now;
         next.level =
             known != m_buckets.end()
-                ? std::min(next.level, most_in(next))
-                : std::min(most_in(next),
-                           rate_of(next) * first_tokens_s +
-                               m_slack.calls * quota_slack::in_buckets);
+                ? std::min(next.level, capacity_of(next))
+                : std::min(capacity_of(next),
+                           rate_of(next) * initial_tokens_s +
+                               m_overage.calls * quota_overage::ledger_part);
     }
     m_buckets = std::move(kept);
 }
@@ -83,39 +88,44 @@
         const auto found = m_buckets.find(each.account);
         if (found == m_buckets.end())
             continue;
-        auto& of = found->second;
-        of = at(of, now);
-        of.level -= static_cast<double>(each.admitted);
-        of.asked_per_s += static_cast<double>(each.asked) / asked_over_s;
-        of.passed_per_s += static_cast<double>(each.admitted) / asked_over_s;
+        auto& state = found->second;
+        state = advanced_to(state, now);
+        state.level -= static_cast<double>(each.admitted);
+        state.requested_per_s +=
+            static_cast<double>(each.asked) / rate_window_s;
+        state.admitted_per_s +=
+            static_cast<double>(each.admitted) / rate_window_s;
         if (each.level)
-            of.level = std::min(of.level, *each.level);
-        of.level = std::min(of.level, most_in(of));
+            state.level = std::min(state.level, *each.level);
+        state.level = std::min(state.level, capacity_of(state));
     }
 }
 
-double quota_ledger::share(double rate, const bucket& of)
+double quota_ledger::admitted_share(double rate, const bucket& state)
 {
-    if (of.asked_per_s <= 0)
+    if (state.requested_per_s <= 0)
         return 1;
-    // What passes beyond the rate until the next word is counted as spent.
-    const double ahead = std::max(0.0, of.passed_per_s - rate) * told_within_s;
-    const double may_pass = rate + (of.level - ahead) / pay_back_s;
-    return std::clamp(may_pass / of.asked_per_s, 0.0, 1.0);
+    // Calls admitted beyond the rate until the next counts arrive are taken off
+    // in advance.
+    const double unreported =
+        std::max(0.0, state.admitted_per_s - rate) * report_delay_s;
+    const double admissible_per_s =
+        rate + (state.level - unreported) / repayment_s;
+    return std::clamp(admissible_per_s / state.requested_per_s, 0.0, 1.0);
 }
 
 std::vector<quota_limit> quota_ledger::limits(time_point now) const
 {
     std::vector<quota_limit> list;
-    for (const auto& [name, kept] : m_buckets)
+    for (const auto& [name, stored] : m_buckets)
     {
-        const auto of = at(kept, now);
-        const double rate = rate_of(of);
-        const double passes = share(rate, of);
-        if (passes < 1)
-            list.push_back({name, passes,
-                            seconds_of(std::max(0.0, -of.level) / rate),
-                            std::max(1.0, of.asked_per_s / rate)});
+        const auto state = advanced_to(stored, now);
+        const double rate = rate_of(state);
+        const double admitted = admitted_share(rate, state);
+        if (admitted < 1)
+            list.push_back({name, admitted,
+                            seconds_of(std::max(0.0, -state.level) / rate),
+                            std::max(1.0, state.requested_per_s / rate)});
     }
     return list;
 }
@@ -126,7 +136,7 @@
     const auto found = m_buckets.find(account);
     if (found == m_buckets.end())
         return std::nullopt;
-    return at(found->second, now).level;
+    return advanced_to(found->second, now).level;
 }
 
 } // namespace tillerhall
--- a/src/quota/quota_message.cpp
+++ b/src/quota/quota_message.cpp
@@ -11,15 +11,15 @@
 
 namespace json = boost::json;
 
-// Bounds on what a peer may tell, so that no message breaks a bucket.
-constexpr std::int64_t most_counted = 10'000'000;
-constexpr double most_crowd = 10'000;
-constexpr std::int64_t most_wait_ms = 60'000;
+// Limits on received values, so that no message corrupts a bucket.
+constexpr std::int64_t max_count = 10'000'000;
+constexpr double max_demand_ratio = 10'000;
+constexpr std::int64_t max_wait_ms = 60'000;
 
 std::int64_t count_from(const json::value& value)
 {
-    return std::clamp(json::value_to<std::int64_t>(value), -most_counted,
-                      most_counted);
+    return std::clamp(json::value_to<std::int64_t>(value), -max_count,
+                      max_count);
 }
 
 } // namespace
@@ -42,7 +42,7 @@
     json::array list;
     for (const auto& each : sent)
         list.push_back(json::array{each.account, each.admitted,
-                                   to_ms(each.wait), each.crowd});
+                                   to_ms(each.wait), each.demand_ratio});
     return list;
 }
 
@@ -75,9 +75,9 @@
             std::clamp(json::value_to<double>(cells.at(1)), 0.0, 1.0);
         limit.wait =
             milliseconds(std::clamp(json::value_to<std::int64_t>(cells.at(2)),
-                                    std::int64_t{0}, most_wait_ms));
-        limit.crowd =
-            std::clamp(json::value_to<double>(cells.at(3)), 1.0, most_crowd);
+                                    std::int64_t{0}, max_wait_ms));
+        limit.demand_ratio = std::clamp(json::value_to<double>(cells.at(3)),
+                                        1.0, max_demand_ratio);
         list.push_back(std::move(limit));
     }
     return list;
