--- a/tests/integration/rollouts.cpp
+++ b/tests/integration/rollouts.cpp
@@ -1,9 +1,5 @@
-/** @file Roll-outs of a service's release: bad ones are sent back soon, good
- * ones completed, whatever happens meanwhile.
- *
- * The story: on a day with a bad release its targets got a full share at once,
- * 10,146 of 30,315 calls where a tenth was allowed, since nothing here knew of
- * releases. */
+/** @file Tests of roll-outs through real nodes: bad releases are rolled back
+ * within their exposure, good ones are completed, also with faults. */
 #include "mesh_system.hpp"
 
 #include <algorithm>
@@ -18,12 +14,13 @@
 constexpr std::size_t old_targets = 4;
 constexpr std::size_t new_targets = 4;
 constexpr int order_s = 20;
-// The bound that the users set: a tenth and fifty calls before a release is
-// known to be good. Once it is known to be bad, none.
+// Calls that a release may get before it is shown non-inferior: a tenth plus
+// fifty calls. Once it is rolled back it must get none.
 constexpr double exposure = 0.1;
-constexpr std::size_t slack = 50;
+constexpr std::size_t tolerance = 50;
 
-/** @param entries hosts of another service, for calls only */
+/** @param entries number of hosts that only take calls, with targets of another
+ * service */
 std::vector<std::string> services(std::size_t entries)
 {
     std::vector<std::string> all(old_targets + new_targets, "perceel");
@@ -31,8 +28,8 @@
     return all;
 }
 
-/** Old targets, new ones that wait for their time, one entry besides, and
- * clients that call all the while. */
+/** Targets of the old release, hosts for the new one, and entries for calls.
+ */
 struct rollout_system : mesh_system
 {
     explicit rollout_system(worker& on,
@@ -45,22 +42,21 @@
         for (std::size_t i = 0; i < hosts().size(); ++i)
             start_node(hosts()[i]);
         for (std::size_t i = 0; i < old_targets; ++i)
-            old_ones.push_back(&hosts()[i]);
+            old_hosts.push_back(&hosts()[i]);
         for (std::size_t i = 0; i < new_targets; ++i)
-            new_ones.push_back(&hosts()[old_targets + i]);
+            new_hosts.push_back(&hosts()[old_targets + i]);
         for (auto& each : hosts())
             REQUIRE(wait_until([&] { return is_ready(each); }));
-        for (auto* each : old_ones)
+        for (auto* each : old_hosts)
             report(*each);
         report(hosts().back());
         for (auto& from : hosts())
             REQUIRE(wait_until(
                 [&] { return call(from, "w", "/fields/w").status == 200; }));
-        // Targets report on and on, as they do.
-        on.spawn([this, over = m_over] { report_for_ever(over); });
+        on.spawn([this, is_over = m_is_over] { report_periodically(is_over); });
     }
 
-    ~rollout_system() { *m_over = true; }
+    ~rollout_system() { *m_is_over = true; }
 
     void report(mesh_host& host)
     {
@@ -68,12 +64,12 @@
         m_reporting.insert(&host);
     }
 
-    void report_for_ever(const std::shared_ptr<bool>& over)
+    void report_periodically(const std::shared_ptr<bool>& is_over)
     {
-        while (!*over)
+        while (!*is_over)
         {
             for (auto* each : std::set<mesh_host*>(m_reporting))
-                if (!*over && !each->target->has_ended())
+                if (!*is_over && !each->target->has_ended())
                     each->target->report(each->at["operators"], "ready");
             sleep_for(on().io(), milliseconds(300));
         }
@@ -82,7 +78,7 @@
     void start_release(const std::string& release,
                        const target_tricks& tricks = {})
     {
-        for (auto* each : new_ones)
+        for (auto* each : new_hosts)
         {
             each->target->set_release(release);
             each->target->tricks() = tricks;
@@ -100,37 +96,38 @@
                                             {"duration", seconds}}));
     }
 
-    /** @return the state that the store tells of the release. */
+    /** @return the stored state of the release; empty if there is none. */
     std::string state_of(const std::string& release)
     {
         const auto rows = store().values("status");
         const auto found = rows.find("rollout/perceel");
         if (found == rows.end())
             return "";
-        const auto told = boost::json::parse(found->second).as_object();
-        return told.at("targetVersion").as_string() == release
-                   ? std::string(told.at("state").as_string())
+        const auto status = boost::json::parse(found->second).as_object();
+        return status.at("targetVersion").as_string() == release
+                   ? std::string(status.at("state").as_string())
                    : "";
     }
 
-    /** Clients call through all hosts until @p span is over or @p done. */
-    void press(duration span, const std::function<bool()>& done)
+    /** Clients call through all hosts until @p span is over or @p done returns
+     * true. */
+    void run_load(duration span, const std::function<bool()>& done)
     {
         const auto until = steady_clock::now() + span;
-        const auto left = std::make_shared<int>(clients);
+        const auto running = std::make_shared<int>(clients);
         for (int i = 0; i < clients; ++i)
             on().spawn(
-                [this, i, until, left, done]
+                [this, i, until, running, done]
                 {
                     while (steady_clock::now() < until && !done())
-                        press_once(i);
-                    --*left;
+                        call_once(i);
+                    --*running;
                 });
-        while (*left > 0)
+        while (*running > 0)
             sleep_for(on().io(), milliseconds(20));
     }
 
-    void press_once(int client)
+    void call_once(int client)
     {
         auto& from =
             hosts()[static_cast<std::size_t>(m_calls) % hosts().size()];
@@ -142,51 +139,55 @@
         sleep_for(on().io(), milliseconds(10 + client % 3));
     }
 
-    std::size_t runs_at(const std::vector<mesh_host*>& some) const
+    std::size_t runs_at(const std::vector<mesh_host*>& selected) const
     {
         std::size_t runs = 0;
-        for (const auto* each : some)
+        for (const auto* each : selected)
             runs += each->target->runs().size();
         return runs;
     }
 
-    /** @return whether the new release got no more than its exposure. */
+    /** @return whether the new release got no more calls than its exposure
+     * allows. */
     bool within_exposure() const
     {
-        const auto fresh = runs_at(new_ones);
-        const auto all = fresh + runs_at(old_ones);
-        return static_cast<double>(fresh) <=
-               exposure * static_cast<double>(all) + slack;
+        const auto new_runs = runs_at(new_hosts);
+        const auto all = new_runs + runs_at(old_hosts);
+        return static_cast<double>(new_runs) <=
+               exposure * static_cast<double>(all) + tolerance;
     }
 
-    /** Presses on for a while. @return whether the new release got nothing. */
+    /** Runs load for a while.
+     * @return whether the new release got no calls. */
     bool stays_closed()
     {
-        const auto before = runs_at(new_ones);
-        press(std::chrono::seconds(2), [] { return false; });
-        return runs_at(new_ones) == before;
+        const auto before = runs_at(new_hosts);
+        run_load(std::chrono::seconds(2), [] { return false; });
+        return runs_at(new_hosts) == before;
     }
 
-    /** Until the store tells that the release has @p state. */
-    bool comes_to(const std::string& release,
-                  const std::string& state,
-                  duration within = std::chrono::seconds(order_s))
+    /** Runs load until the stored state of the release is @p state.
+     * @param within time since the order
+     * @return whether it is. */
+    bool reaches_state(const std::string& release,
+                       const std::string& state,
+                       duration within = std::chrono::seconds(order_s))
     {
-        press(ordered + within - steady_clock::now(),
-              [&] { return state_of(release) == state; });
+        run_load(ordered + within - steady_clock::now(),
+                 [&] { return state_of(release) == state; });
         return state_of(release) == state;
     }
 
     static constexpr int clients = 8;
-    std::vector<mesh_host*> old_ones;
-    std::vector<mesh_host*> new_ones;
+    std::vector<mesh_host*> old_hosts;
+    std::vector<mesh_host*> new_hosts;
     time_point ordered{};
     int good = 0;
     int bad = 0;
 
 private:
     std::set<mesh_host*> m_reporting;
-    std::shared_ptr<bool> m_over = std::make_shared<bool>(false);
+    std::shared_ptr<bool> m_is_over = std::make_shared<bool>(false);
     int m_calls = 0;
 };
 
@@ -199,7 +200,7 @@
 
 } // namespace
 
-TEST_CASE("a release that fails is sent back soon and got its exposure only")
+TEST_CASE("a release that fails is rolled back within its exposure")
 {
     on_worker(
         [](worker& on)
@@ -207,14 +208,14 @@
             rollout_system system(on);
             system.order("v2");
             system.start_release("v2", failing(0.4));
-            CHECK(system.comes_to("v2", "rolled_back"));
+            CHECK(system.reaches_state("v2", "rolled_back"));
             CHECK(system.within_exposure());
             CHECK(system.stays_closed());
         });
 }
 
 TEST_CASE(
-    "releases bad in one class, later, slower or under load are sent back")
+    "releases bad in one class, later, slower or under load are rolled back")
 {
     auto one_class = failing(0.5);
     one_class.failing_prefix = "/sales/";
@@ -245,14 +246,14 @@
                     tricks.failing_from =
                         steady_clock::now() + std::chrono::seconds(3);
                 system.start_release("v2", tricks);
-                CHECK(system.comes_to("v2", "rolled_back"));
+                CHECK(system.reaches_state("v2", "rolled_back"));
                 CHECK(system.within_exposure());
                 CHECK(system.stays_closed());
             });
     }
 }
 
-TEST_CASE("a good release is completed in time and no call is cut by it")
+TEST_CASE("a good release is completed in time without failed calls")
 {
     on_worker(
         [](worker& on)
@@ -260,40 +261,40 @@
             rollout_system system(on);
             system.order("v2");
             system.start_release("v2");
-            CHECK(system.comes_to("v2", "completed"));
+            CHECK(system.reaches_state("v2", "completed"));
             CHECK(system.bad == 0);
-            // The old targets stop at once, without a word.
-            for (auto* each : system.old_ones)
+            // The old targets stop without notice.
+            for (auto* each : system.old_hosts)
                 each->target->end();
-            const auto before = system.runs_at(system.old_ones);
-            system.press(std::chrono::seconds(2), [] { return false; });
+            const auto before = system.runs_at(system.old_hosts);
+            system.run_load(std::chrono::seconds(2), [] { return false; });
             CHECK(system.bad == 0);
-            CHECK(system.runs_at(system.old_ones) == before);
+            CHECK(system.runs_at(system.old_hosts) == before);
         });
 }
 
-TEST_CASE("targets of a new release that come before any order get little")
+TEST_CASE("targets of a new release without an order stay within the exposure")
 {
     on_worker(
         [](worker& on)
         {
             rollout_system system(on);
             system.start_release("v2", failing(0.5));
-            system.press(std::chrono::seconds(4), [] { return false; });
+            system.run_load(std::chrono::seconds(4), [] { return false; });
             CHECK(system.within_exposure());
             system.order("v2");
-            CHECK(system.comes_to("v2", "rolled_back"));
+            CHECK(system.reaches_state("v2", "rolled_back"));
             CHECK(system.within_exposure());
         });
 }
 
-TEST_CASE("a loss of all nodes forgets neither an order nor a verdict")
+TEST_CASE("orders and outcomes survive a crash of all nodes")
 {
     on_worker(
         [](worker& on)
         {
             rollout_system system(on);
-            const auto lose_all = [&]
+            const auto restart_all = [&]
             {
                 for (auto& each : system.hosts())
                     each.node.kill();
@@ -305,17 +306,17 @@
             };
             system.order("v2");
             system.start_release("v2", failing(0.4));
-            system.press(milliseconds(700), [] { return false; });
-            lose_all();
-            CHECK(system.comes_to("v2", "rolled_back"));
+            system.run_load(milliseconds(700), [] { return false; });
+            restart_all();
+            CHECK(system.reaches_state("v2", "rolled_back"));
             CHECK(system.within_exposure());
-            lose_all();
+            restart_all();
             CHECK(system.stays_closed());
             CHECK(system.state_of("v2") == "rolled_back");
         });
 }
 
-TEST_CASE("a good release is completed after a loss of all nodes")
+TEST_CASE("a good release is completed after a crash of all nodes")
 {
     on_worker(
         [](worker& on)
@@ -323,16 +324,16 @@
             rollout_system system(on);
             system.order("v2");
             system.start_release("v2");
-            system.press(std::chrono::seconds(4), [] { return false; });
+            system.run_load(std::chrono::seconds(4), [] { return false; });
             for (auto& each : system.hosts())
                 each.node.kill();
             for (auto& each : system.hosts())
                 system.start_node(each);
-            CHECK(system.comes_to("v2", "completed"));
+            CHECK(system.reaches_state("v2", "completed"));
         });
 }
 
-TEST_CASE("a verdict binds while the store is away, and is written after it")
+TEST_CASE("an outcome holds while the store is down, and is written later")
 {
     on_worker(
         [](worker& on)
@@ -343,27 +344,27 @@
                 [&] { return system.state_of("v2") == "running"; }));
             system.store().faults().down = true;
             system.start_release("v2", failing(0.5));
-            system.press(std::chrono::seconds(5), [] { return false; });
+            system.run_load(std::chrono::seconds(5), [] { return false; });
             CHECK(system.within_exposure());
             CHECK(system.stays_closed());
             CHECK(system.state_of("v2") == "running");
             system.store().faults().down = false;
-            CHECK(system.comes_to("v2", "rolled_back",
-                                  std::chrono::seconds(2 * order_s)));
+            CHECK(system.reaches_state("v2", "rolled_back",
+                                       std::chrono::seconds(2 * order_s)));
         });
 }
 
-TEST_CASE("while the store is away only few nodes try to write a verdict")
+TEST_CASE("only few nodes try to write an outcome while the store is down")
 {
     on_worker(
         [](worker& on)
         {
-            // More hosts than may speak for their domains while nobody can.
+            // More hosts than may write for their domains.
             rollout_system system(on, "", 5);
             system.order("v2");
             REQUIRE(system.wait_until(
                 [&] { return system.state_of("v2") == "running"; }));
-            // All read the order at their start.
+            // All nodes read the order when they start.
             for (auto& each : system.hosts())
                 each.node.kill();
             for (auto& each : system.hosts())
@@ -371,23 +372,23 @@
             for (auto& each : system.hosts())
                 REQUIRE(
                     system.wait_until([&] { return system.is_ready(each); }));
-            system.press(std::chrono::seconds(1), [] { return false; });
+            system.run_load(std::chrono::seconds(1), [] { return false; });
             system.store().faults().down = true;
             system.start_release("v2", failing(0.6));
-            system.press(std::chrono::seconds(3), [] { return false; });
+            system.run_load(std::chrono::seconds(3), [] { return false; });
             // Writes name their table in the body.
             const auto before = system.store().calls_on("");
             constexpr int span_s = 4;
-            system.press(std::chrono::seconds(span_s), [] { return false; });
+            system.run_load(std::chrono::seconds(span_s), [] { return false; });
             const auto calls = system.store().calls_on("") - before;
             CHECK(calls > 0);
-            // Three candidates a domain, of three, each 0.3 s.
+            // Three nodes in each of three domains, each every 0.3 s.
             constexpr unsigned writers = 9;
             CHECK(calls <= writers * (span_s * 10 / 3 + 1));
         });
 }
 
-TEST_CASE("a newer order replaces one; what was sent back stays closed")
+TEST_CASE("a newer order replaces one; a rolled back release stays closed")
 {
     on_worker(
         [](worker& on)
@@ -395,17 +396,17 @@
             rollout_system system(on);
             system.order("v2");
             system.start_release("v2", failing(0.5));
-            REQUIRE(system.comes_to("v2", "rolled_back"));
+            REQUIRE(system.reaches_state("v2", "rolled_back"));
             system.order("v3");
-            CHECK(system.stays_closed()); // its targets are of v2 still
-            for (auto* each : system.new_ones)
+            CHECK(system.stays_closed()); // its targets still have v2
+            for (auto* each : system.new_hosts)
                 each->target->start_again(each->target->id() + "-v3");
             system.start_release("v3");
-            CHECK(system.comes_to("v3", "completed"));
+            CHECK(system.reaches_state("v3", "completed"));
         });
 }
 
-TEST_CASE("orders that cannot be followed harm nothing else")
+TEST_CASE("orders that cannot be executed affect nothing else")
 {
     on_worker(
         [](worker& on)
@@ -418,13 +419,13 @@
             store.put("op", "", "rollout/beurs", "{\"service\":7}");
             store.put("op", "", "rollout/odd", std::string("\xff\x00{", 3));
             system.order("v9", 4); // no target has it
-            CHECK(system.comes_to("v9", "rolled_back"));
+            CHECK(system.reaches_state("v9", "rolled_back"));
             CHECK(system.bad == 0);
             CHECK(system.within_exposure());
         });
 }
 
-TEST_CASE("operators order, watch and take back a roll-out through any node")
+TEST_CASE("operators start, list and abort a roll-out through any node")
 {
     on_worker(
         [](worker& on)
@@ -435,41 +436,46 @@
             std::ofstream(token_file) << "secret\n";
             rollout_system system(
                 on, "operators:\n  token_file: " + token_file + "\n");
-            const auto tiller =
-                [&](std::vector<std::string> words, bool with_token = true)
+            const auto run_tiller =
+                [&](std::vector<std::string> arguments, bool with_token = true)
             {
-                words.insert(words.begin(),
-                             {program_folder() + "/tiller", "rollout"});
-                words.insert(
-                    words.end(),
+                arguments.insert(arguments.begin(),
+                                 {program_folder() + "/tiller", "rollout"});
+                arguments.insert(
+                    arguments.end(),
                     {"--node", system.hosts()[3].at["operators"].text()});
                 if (with_token)
-                    words.insert(words.end(), {"--token-file", token_file});
-                // The store is on this thread, so the program waits on another.
-                auto ended = std::async(std::launch::async,
-                                        [words] { return run(words); });
-                while (ended.wait_for(milliseconds(0)) !=
+                    arguments.insert(arguments.end(),
+                                     {"--token-file", token_file});
+                // The store runs on this thread, so the program is awaited on
+                // another.
+                auto result = std::async(std::launch::async, [arguments]
+                                         { return run(arguments); });
+                while (result.wait_for(milliseconds(0)) !=
                        std::future_status::ready)
                     sleep_for(on.io(), milliseconds(10));
-                return ended.get();
+                return result.get();
             };
-            CHECK(tiller({}).out.find("no roll-out") != std::string::npos);
-            CHECK(tiller({"start", "perceel", "v2"}, false).code == 1);
-            CHECK(tiller({"start", "perceel", "v2", "--timeout", "1"}).code ==
-                  1);
-            CHECK(tiller({"dance"}).code == 2);
-            CHECK(tiller({"abort", "perceel"}).code == 1);
+            CHECK(run_tiller({}).out.find("no roll-out") != std::string::npos);
+            CHECK(run_tiller({"start", "perceel", "v2"}, false).code == 1);
+            CHECK(
+                run_tiller({"start", "perceel", "v2", "--timeout", "1"}).code ==
+                1);
+            CHECK(run_tiller({"dance"}).code == 2);
+            CHECK(run_tiller({"abort", "perceel"}).code == 1);
             CHECK(system.state_of("v2").empty());
 
             system.ordered = steady_clock::now();
-            CHECK(tiller({"start", "perceel", "v2", "--timeout", "30"}).code ==
-                  0);
+            CHECK(run_tiller({"start", "perceel", "v2", "--timeout", "30"})
+                      .code == 0);
             system.start_release("v2");
-            system.press(std::chrono::seconds(2), [] { return false; });
-            const auto seen = tiller({"list"}).out;
-            CHECK(seen.find("perceel: v1 -> v2  running") != std::string::npos);
-            CHECK(seen.find("failed") != std::string::npos); // its evidence
-            CHECK(tiller({"abort", "perceel"}).code == 0);
+            system.run_load(std::chrono::seconds(2), [] { return false; });
+            const auto listed = run_tiller({"list"}).out;
+            CHECK(listed.find("perceel: v1 -> v2  running") !=
+                  std::string::npos);
+            CHECK(listed.find("failed") !=
+                  std::string::npos); // of the evidence
+            CHECK(run_tiller({"abort", "perceel"}).code == 0);
             REQUIRE(system.wait_until(
                 [&] { return system.state_of("v1") == "completed"; }));
             CHECK(system.stays_closed());
