--- a/tests/integration/account_calls.cpp
+++ b/tests/integration/account_calls.cpp
@@ -1,7 +1,7 @@
-/** @file Client accounts through real nodes: keys, names, quotas.
+/** @file Tests of client accounts through real nodes: keys, names, quotas.
  *
- * The story: nothing knew of keys, so targets were handed them, calls with
- * unknown or dropped keys ran, and no account was ever named. */
+ * Targets must get the account's name but never its key, and calls with unknown
+ * or removed keys must not run. */
 #include "mesh_system.hpp"
 
 using namespace tillerhall;
@@ -50,7 +50,7 @@
         std::map<std::string, std::string> fields;
         if (!key.empty())
             fields["Authorization"] = "Bearer " + key;
-        fields["X-Tenant"] = "molen"; // what a client says counts for nothing
+        fields["X-Tenant"] = "molen"; // must be ignored
         return call(from, id, path, "", 2500, fields);
     }
 
@@ -63,7 +63,7 @@
         return nullptr;
     }
 
-    /** @return all that the nodes wrote so far. */
+    /** @return the logs of all nodes. */
     std::string logs()
     {
         std::string all;
@@ -80,7 +80,7 @@
 
 } // namespace
 
-TEST_CASE("targets are told the account, never the key")
+TEST_CASE("targets get the account's name, never the key")
 {
     on_worker(
         [](worker& on)
@@ -108,7 +108,7 @@
         });
 }
 
-TEST_CASE("calls without a key that somebody holds reach no target")
+TEST_CASE("calls without a valid key reach no target")
 {
     on_worker(
         [](worker& on)
@@ -124,14 +124,14 @@
         });
 }
 
-TEST_CASE("a key that is taken away is refused soon, a new one works soon")
+TEST_CASE("removed and added keys take effect soon")
 {
     on_worker(
         [](worker& on)
         {
             account_system system(on, config_of(1, {"key-one"}));
             system.store().put("op", "", "config", config_of(2, {"key-two"}));
-            // The aim: in force on every node within 2 s.
+            // Every node must apply a change within 2 s.
             const auto until = std::chrono::seconds(2);
             for (auto& from : system.hosts())
             {
@@ -144,7 +144,7 @@
                 CHECK(system.with_key(from, "old", "key-one").status == 401);
             }
             CHECK(system.runs_of("old") == 0);
-            // Also after a restart with the store away.
+            // Also after a restart while the store is down.
             auto& host = system.hosts()[0];
             system.store().faults().down = true;
             host.node.kill();
@@ -154,23 +154,23 @@
         });
 }
 
-TEST_CASE("an account is held to its quota over all nodes, others are not")
+TEST_CASE("a quota limits its account over all nodes, and no other account")
 {
     on_worker(
         [](worker& on)
         {
             constexpr double per_s = 20;
             account_system system(on, config_of(1, {"key-one"}, per_s));
-            const auto begin = steady_clock::now();
+            const auto started_at = steady_clock::now();
             int refused = 0;
-            int passed = 0;
+            int admitted = 0;
             std::vector<worker::task> tasks;
             for (std::size_t client = 0; client < 6; ++client)
                 tasks.emplace_back(
                     [&, client]
                     {
                         for (int i = 0; steady_clock::now() <
-                                        begin + std::chrono::seconds(5);
+                                        started_at + std::chrono::seconds(5);
                              ++i)
                         {
                             const auto id = "q-" + std::to_string(client) +
@@ -178,7 +178,7 @@
                             const auto answer = system.with_key(
                                 system.hosts()[client % 3], id, "key-one");
                             refused += answer.status == 429 ? 1 : 0;
-                            passed += answer.status == 200 ? 1 : 0;
+                            admitted += answer.status == 200 ? 1 : 0;
                             if (answer.status == 429)
                                 CHECK_FALSE(answer.retry_after.empty());
                             sleep_for(on.io(), milliseconds(30));
@@ -186,8 +186,8 @@
                     });
             run_parallel(std::move(tasks));
             CHECK(refused > 0);
-            CHECK(passed <= (per_s * 5 + per_s) * 1.1 + 20);
-            CHECK(passed >= per_s * 5 * 0.8);
+            CHECK(admitted <= (per_s * 5 + per_s) * 1.1 + 20);
+            CHECK(admitted >= per_s * 5 * 0.8);
             CHECK(system.with_key(system.hosts()[0], "m", "key-of-molen")
                       .status == 200);
         });
