--- a/src/rollout/release_baseline.cpp
+++ b/src/rollout/release_baseline.cpp
@@ -28,7 +28,7 @@
 constexpr std::uint32_t min_threshold_runs = 200;
 // With fewer runs the mean latency of a target is too uncertain.
 constexpr std::uint32_t min_timed_runs_per_target = 8;
-// With fewer targets no outlier can be told.
+// With fewer targets an outlier cannot be identified.
 constexpr std::size_t min_targets = 3;
 // In buckets of half an octave. Machines differ by a factor of up to two from
 // the median; a target that takes three times as long is left out as slow.
--- a/src/rollout/rollout_judge.cpp
+++ b/src/rollout/rollout_judge.cpp
@@ -26,7 +26,7 @@
 constexpr milliseconds baseline_timeout(2'000);
 // Scores of the targets for which a release is rolled back, of each one and on
 // average, as log-likelihood ratios. Beside one regressed target, with a score
-// of 8, two others need a sum of 13, which has a probability of e^-13.
+// of 8, two others need a sum of 13, which chance reaches with e^-13.
 constexpr double min_score = 3;
 constexpr double min_mean_score = 7;
 
