--- a/include/tillerhall/routing/admission.hpp
+++ b/include/tillerhall/routing/admission.hpp
@@ -1,4 +1,4 @@
-/** @file The owner's decision whether a call may run at its target now. */
+/** @file Admission control of one target: slots, rate and queue. */
 #pragma once
 
 #include "tillerhall/core/token_bucket.hpp"
@@ -13,16 +13,16 @@
 namespace tillerhall
 {
 
-/** Limits in force at one target, from its row and its settings. */
+/** Limits in force at one target, from its table row and its settings. */
 struct admission_limits
 {
-    std::int64_t in_flight = 12;
-    std::int64_t queue = 64;
-    duration queue_wait = milliseconds(200);
-    double rate_per_s = 0; ///< 0 is no limit
+    std::int64_t in_flight = 12;             ///< calls running at once
+    std::int64_t queue = 64;                 ///< calls waiting at once
+    duration queue_wait = milliseconds(200); ///< zero: no call waits
+    double rate_per_s = 0;                   ///< 0: no limit
 };
 
-/** What becomes of a call that arrives. */
+/** The decision on a call that arrives. */
 enum class admission_verdict
 {
     run,
@@ -34,14 +34,15 @@
 
 std::string_view name_of(admission_verdict verdict) noexcept;
 
-/** What is known of a call that arrives. */
+/** The properties of a call that arrives which admission depends on. */
 struct arriving_call
 {
     time_point deadline{};
-    std::uint32_t rank = 0;               ///< urgency; 0 goes first
-    time_point due = time_point::max();   ///< by which an answer is worth most
-    duration most_wait = duration::max(); ///< refused if it would be more
-    duration run{};                       ///< expected; zero: the mean run
+    std::uint32_t rank = 0;             ///< urgency; 0 is the most urgent
+    time_point due = time_point::max(); ///< end of the call's objective
+    duration most_wait =
+        duration::max(); ///< refused if its expected wait is longer
+    duration run{};      ///< expected run time; zero: use the mean run time
 };
 
 /** A call in the queue. It must leave the queue before it is destroyed. */
@@ -49,11 +50,12 @@
     : boost::intrusive::list_base_hook<
           boost::intrusive::link_mode<boost::intrusive::auto_unlink>>
 {
-    std::string caller;     ///< service that calls, for fairness
+    std::string
+        caller; ///< calling service; slots are shared fairly among callers
     std::uint32_t rank = 0; ///< urgency; 0 goes first
     time_point deadline{};
-    time_point due{}; ///< within a rank and caller the earliest goes first
-    duration run{};   ///< expected; zero: the mean run
+    time_point due{}; ///< the earliest goes first within a rank and caller
+    duration run{};   ///< expected run time; zero: use the mean run time
     bool granted = false;
     bool expired = false;
     std::function<void()> wake; ///< called once, when granted or expired
@@ -75,19 +77,25 @@
 public:
     explicit admission(admission_limits limits);
 
-    /** New limits hold for what comes; what runs goes on. */
+    /** Replaces the limits; calls that are running are not affected. */
     void set_limits(const admission_limits& limits);
 
-    /** Decides on a call; `wait` means that @p waiter should be enqueued. */
+    /**
+     * Decides on a call. If the result is `wait`, the caller must enqueue a
+     * waiter for it.
+     */
     admission_verdict arrive(time_point now, const arriving_call& call);
 
-    /** Puts a call that must wait into the queue. */
+    /** Adds a call that must wait to the queue. */
     void enqueue(admission_waiter& waiter);
 
-    /** A waiting call gave up. @return false if it had been granted. */
+    /**
+     * Removes a waiting call.
+     * @return false if it has already been granted a slot or has expired.
+     */
     bool give_up(admission_waiter& waiter);
 
-    /** A call that ran is done after @p took; wakes those who may run now. */
+    /** Ends a run that took @p took, and grants its slot to a waiting call. */
     void leave(time_point now, duration took);
 
     std::int64_t in_flight() const noexcept { return m_in_flight; }
@@ -95,19 +103,20 @@
     std::int64_t most_in_flight() const noexcept { return m_most_in_flight; }
     const admission_limits& limits() const noexcept { return m_limits; }
 
-    /** @return calls running and waiting as a share of the limit. */
+    /** @return running and waiting calls as a share of the slots. */
     double load() const noexcept;
 
-    /** @return when a refused caller may expect a free place. */
+    /** @return the time after which a refused caller can expect a free slot. */
     duration retry_after() const noexcept;
 
     /**
-     * @return how long a call of @p rank that is due at @p due would wait if
-     * it came now: for a place, and for the runs of those that go before it.
+     * @return how long a call of @p rank that is due at @p due would wait if it
+     * arrived now: until a slot is free, and for the runs of the calls ahead of
+     * it.
      */
     duration expected_wait(std::uint32_t rank, time_point due) const noexcept;
 
-    /** @return the mean time of a run at the target, decaying. */
+    /** @return the decaying mean of the run times at the target. */
     duration mean_run() const noexcept { return m_mean_run; }
 
 private:
@@ -121,14 +130,17 @@
     bool can_finish(time_point now,
                     time_point deadline,
                     duration run) const noexcept;
-    /** @return @p run, or the mean run if that is not known. */
+    /** @return @p run, or the mean run time if @p run is zero. */
     duration run_or_mean(duration run) const noexcept;
-    /** @return the runs of the calls of @p rank that are due before @p due. */
+    /**
+     * @return the sum of the expected run times of the calls of @p rank that
+     * are due by @p due.
+     */
     duration runs_before(std::uint32_t rank, time_point due) const noexcept;
 
     admission_limits m_limits;
     token_bucket m_rate;
-    /** One rank's queues, by calling service. */
+    /** The queues of one rank, by calling service. */
     struct rank_queue
     {
         std::map<std::string, waiters> callers;
@@ -144,7 +156,7 @@
     std::int64_t m_waiting = 0;
     std::int64_t m_most_in_flight = 0;
     duration m_mean_run{};
-    int m_runs_counted = 0; ///< in the mean, up to its weight
+    int m_runs_counted = 0; ///< runs in the mean, at most `mean_share`
 };
 
 } // namespace tillerhall
