--- a/include/tillerhall/routing/answer_backlog.hpp
+++ b/include/tillerhall/routing/answer_backlog.hpp
@@ -1,4 +1,4 @@
-/** @file Whether a call's answer could leave its host in time. */
+/** @file Decides whether a large answer could leave its host in time. */
 #pragma once
 
 #include "tillerhall/core/time.hpp"
@@ -9,34 +9,41 @@
 {
 
 /**
- * What is known of the link when a call with a large answer comes. Where
- * answers of 90 KB ask for nine tenths of a link of 15 Mbit/s, their backlog
- * grew to 1.5 s and more: runs were spent on answers that came late, and the
- * heartbeats behind them timed out. Pure.
+ * What is known of the host's link when a call with a large answer arrives.
+ * Refuses calls whose answers would be late because the link is backlogged; the
+ * runs for them would be wasted and short messages would wait behind the
+ * answers. Free of I/O.
  */
 struct answer_backlog
 {
-    duration ahead{};     ///< the link takes for the answers before this one
-    duration run{};       ///< expected, of this call
-    duration own{};       ///< the link takes for this answer
+    duration ahead{};     ///< link time of the answers before this one
+    duration run{};       ///< expected run time of this call
+    duration own{};       ///< link time of this answer
     duration objective{}; ///< of this call
-    duration elapsed{};   ///< since its client's first try, if that was before
-
-    /** Runs and answers differ by about half of their means, and the other
-     * host's link and the client's take time as well. */
+    duration elapsed{};   ///< since the client's first attempt; zero if this is
+                          ///< the first
+
+    /**
+     * This fraction of the objective is a reserve: run times and answer sizes
+     * vary by about half of their means, and the link of the other host and of
+     * the client take time, too.
+     */
     static constexpr int spare_part = 4;
-    /** What is late in any case may take this part of the objective of a link
-     * that is nearly idle; more of it would make others late. */
+    /**
+     * A call that would be late in any case is still taken while its answer
+     * waits for no more than this fraction of the objective; a longer wait
+     * would make other answers late.
+     */
     static constexpr int late_part = 8;
 
-    /** @return how long the answer waits for the link and is on it. */
+    /** @return the time from the end of the run until the answer has left. */
     duration wait() const
     {
-        // While the call runs the link goes on with what is before it.
+        // The link continues to send earlier answers while the call runs.
         return std::max<duration>(duration::zero(), ahead - run) + own;
     }
 
-    /** @return whether the call should be refused before it runs. */
+    /** @return true if the call should be refused. */
     bool is_too_long() const
     {
         const auto in_time = objective - objective / spare_part;
