--- a/include/tillerhall/routing/answer_sizes.hpp
+++ b/include/tillerhall/routing/answer_sizes.hpp
@@ -1,4 +1,4 @@
-/** @file How large the answers to each class of work are. */
+/** @file Mean answer size of each class of work. */
 #pragma once
 
 #include "tillerhall/routing/work_class.hpp"
@@ -9,11 +9,13 @@
 namespace tillerhall
 {
 
-/** Decaying means of the bodies of answers by class of work, in bytes. Pure. */
+/**
+ * Decaying means of answer body sizes by class of work, in bytes. Free of I/O.
+ */
 class answer_sizes
 {
 public:
-    /** Weight of the newest answer; some ten count. */
+    /** Weight of the newest answer in the mean. */
     static constexpr double newest_share = 0.1;
 
     void answered(const work_class& work, std::size_t bytes)
@@ -23,7 +25,10 @@
         mean += (size - mean) * newest_share;
     }
 
-    /** @return the mean size of answers to @p work, or @p unknown. */
+    /**
+     * @return the mean answer size of @p work in bytes, or @p unknown if there
+     * has been no answer.
+     */
     double of(const work_class& work, double unknown) const
     {
         const auto found = m_means.find(work);
