--- a/include/tillerhall/routing/call_route.hpp
+++ b/include/tillerhall/routing/call_route.hpp
@@ -1,4 +1,4 @@
-/** @file One route of the operators' configuration, as calls are led by it. */
+/** @file One route of the operators' configuration. */
 #pragma once
 
 #include "tillerhall/core/time.hpp"
@@ -12,19 +12,21 @@
 namespace tillerhall
 {
 
-/** What a route's calls allow the mesh to do with them. */
+/**
+ * Whether calls of a route may be repeated, and whether their bodies are large.
+ */
 enum class call_kind
 {
     repeatable,       ///< may run any number of times
     once,             ///< may run at most once for each attempt of a client
-    large_once,       ///< as `once`, with a large body
+    large_once,       ///< as `once`, with a large request body
     large_repeatable, ///< as `repeatable`, with a large answer
     last = large_repeatable
 };
 
 std::string_view name_of(call_kind kind) noexcept;
 
-/** @return whether a call of @p kind may run more than once. */
+/** @return true if a call of @p kind may run more than once. */
 constexpr bool may_repeat(call_kind kind) noexcept
 {
     return kind == call_kind::repeatable || kind == call_kind::large_repeatable;
@@ -45,21 +47,21 @@
     std::string path_prefix;           ///< begins and ends with a slash
     std::vector<service_share> shares; ///< at least one
     call_kind kind = call_kind::once;
-    milliseconds timeout{0};        ///< longest time a call may be held
-    milliseconds objective{0};      ///< an answer within this is as good as any
-    std::uint32_t most_targets = 1; ///< to which one call may be sent
+    milliseconds timeout{0};        ///< longest time until the call is answered
+    milliseconds objective{0};      ///< an answer within this time is in time
+    std::uint32_t most_targets = 1; ///< most targets that one call is sent to
     std::uint32_t rank = 0; ///< urgency of its calls; 0 is the most urgent
-    bool is_open = false;   ///< takes calls without a key
+    bool is_open = false;   ///< takes calls without a client key
 };
 
-/** What the targets of a service bear while they are cold. */
+/** Limits for targets of a service that have just started (cold targets). */
 struct service_terms
 {
-    double cold_per_s = 0;    ///< calls a second; 0: as when they are warm
-    milliseconds cold_for{0}; ///< how long one is cold after its start
+    double cold_per_s = 0;    ///< calls a second to a cold target; 0: no limit
+    milliseconds cold_for{0}; ///< how long a target is cold after its start
 };
 
-/** What a client may send and how long it may take over it. */
+/** Size and time limits for client connections. */
 struct client_limits
 {
     std::size_t head_bytes = 16 * 1024;
