--- a/include/tillerhall/routing/call_routes.hpp
+++ b/include/tillerhall/routing/call_routes.hpp
@@ -13,14 +13,16 @@
 namespace tillerhall
 {
 
-/** What a version holds besides routes and limits; many hold none of it. */
+/** Optional parts of a configuration version. */
 struct version_extras
 {
     std::map<std::string, service_terms> services; ///< by name
-    client_accounts_ptr accounts;                  ///< null: none are asked for
+    client_accounts_ptr accounts; ///< null: no keys are required
 };
 
-/** All routes and client limits of one version; shared by counted reference. */
+/**
+ * All routes and client limits of one configuration version; reference-counted.
+ */
 class call_routes : public boost::intrusive_ref_counter<call_routes>
 {
 public:
@@ -28,9 +30,10 @@
     call_routes() = default;
 
     /**
-     * @return the checked routes of @p version, or why the whole version is
-     * refused: a route without a service, weight, host or timeout, or two
-     * routes for the same host and prefix.
+     * Checks the routes of @p version.
+     * @return the routes, or the reason why the whole version is refused: a
+     * route without a service, weight, host or timeout, or two routes for the
+     * same host and prefix.
      */
     static result<boost::intrusive_ptr<const call_routes>>
     build(std::uint64_t version,
@@ -42,14 +45,16 @@
     const client_limits& limits() const noexcept { return m_limits; }
     const std::vector<call_route>& routes() const noexcept { return m_routes; }
 
-    /** @return the accounts whose calls this version takes; null if it asks
-     * for none. */
+    /**
+     * @return the accounts whose calls this version takes; null if it requires
+     * no keys.
+     */
     const client_accounts* accounts() const noexcept
     {
         return m_extras.accounts.get();
     }
 
-    /** @return what targets of @p service bear. */
+    /** @return the limits for cold targets of @p service. */
     service_terms terms_of(const std::string& service) const;
 
     /**
