--- a/include/tillerhall/routing/admission.hpp
+++ b/include/tillerhall/routing/admission.hpp
@@ -38,11 +38,10 @@
 struct arriving_call
 {
     time_point deadline{};
-    std::uint32_t rank = 0;             ///< urgency; 0 is the most urgent
-    time_point due = time_point::max(); ///< end of the call's objective
-    duration most_wait =
-        duration::max(); ///< refused if its expected wait is longer
-    duration run{};      ///< expected run time; zero: use the mean run time
+    std::uint32_t rank = 0;               ///< urgency; 0 is the most urgent
+    time_point due = time_point::max();   ///< end of the call's objective
+    duration most_wait = duration::max(); ///< longest acceptable wait
+    duration run{}; ///< expected run time; zero: use the mean run time
 };
 
 /** A call in the queue. It must leave the queue before it is destroyed. */
@@ -50,9 +49,8 @@
     : boost::intrusive::list_base_hook<
           boost::intrusive::link_mode<boost::intrusive::auto_unlink>>
 {
-    std::string
-        caller; ///< calling service; slots are shared fairly among callers
-    std::uint32_t rank = 0; ///< urgency; 0 goes first
+    std::string caller;     ///< calling service, for fairness
+    std::uint32_t rank = 0; ///< urgency; 0 is the most urgent
     time_point deadline{};
     time_point due{}; ///< the earliest goes first within a rank and caller
     duration run{};   ///< expected run time; zero: use the mean run time
@@ -64,13 +62,13 @@
 /**
  * Slots, rate and queue of one target.
  *
- * Free slots go to the most urgent rank that waits, but every few grants to
- * the next one, so that none starves. Within a rank they go to the callers'
- * services in turn, so that one service with many calls waiting cannot starve
- * the rest, and of one caller's calls the one that is due first. A call whose
- * deadline leaves no time for the mean run is refused instead of run in vain,
- * and so is one that would wait longer than it may. Pure but for the wake
- * functions; not safe for threads, see `call_admission`.
+ * Free slots go to the most urgent rank that has waiting calls; every few
+ * grants one goes to the next rank, so that no rank starves. Within a rank the
+ * calling services are served round-robin, so that a service with many waiting
+ * calls cannot starve the others; the calls of one service go in order of their
+ * due times. A call is refused if its deadline leaves no time for its expected
+ * run, or if it would wait longer than it may. Free of I/O apart from the wake
+ * functions; not thread-safe, see `call_admission`.
  */
 class admission
 {
