--- a/include/tillerhall/routing/call_route.hpp
+++ b/include/tillerhall/routing/call_route.hpp
@@ -57,7 +57,8 @@
 /** Limits for targets of a service that have just started (cold targets). */
 struct service_terms
 {
-    double cold_per_s = 0;    ///< calls a second to a cold target; 0: no limit
+    double cold_per_s =
+        0; ///< calls a second to a cold target; 0: no extra limit
     milliseconds cold_for{0}; ///< how long a target is cold after its start
 };
 
