--- a/include/tillerhall/routing/claim_shard.hpp
+++ b/include/tillerhall/routing/claim_shard.hpp
@@ -1,4 +1,4 @@
-/** @file The claims of one shard: which keyed calls have begun. */
+/** @file Idempotency-key claims of one shard. */
 #pragma once
 
 #include "tillerhall/core/result.hpp"
@@ -15,13 +15,13 @@
 namespace tillerhall
 {
 
-/** How far a claimed call has come. */
+/** State of a claimed call. */
 enum class claim_state
 {
-    running, ///< claimed; it may be on its way
+    running, ///< claimed; the call may be running
     done,    ///< it ran and was answered
-    unknown, ///< it may have run
-    released ///< it did not run; the key is free
+    unknown, ///< the call may have run
+    released ///< the call did not run; the key is free
 };
 
 std::string_view name_of(claim_state state) noexcept;
@@ -31,20 +31,20 @@
 {
     std::string key;         ///< digest over caller, service, method, path, key
     std::string body;        ///< digest of the body
-    std::uint64_t nonce = 0; ///< by which a writer knows its own claim again
+    std::uint64_t nonce = 0; ///< identifies the writer of the claim
     claim_state state = claim_state::running;
 };
 
 /**
- * The claims of the last minutes in a ring of items, a minute each. A write
- * of any claim is conditional on the revisions of all items of the ring, so
- * two writers can never both think a key is free. Old minutes are overwritten
- * in their turn, so the number of items is fixed. Pure.
+ * The claims of the last minutes in a ring of items, one item a minute. A write
+ * of any claim is conditional on the revisions of all items of the ring, so two
+ * writers never both take a key to be free. Items of expired minutes are
+ * overwritten, so the number of items is fixed. Free of I/O.
  */
 class claim_shard
 {
 public:
-    /** Items of the ring. A claim holds for this many minutes less two. */
+    /** Items of the ring. A claim is kept for two minutes less than that. */
     static constexpr std::int64_t ring_size = 16;
     static constexpr std::int64_t kept_minutes = ring_size - 2;
 
@@ -56,19 +56,24 @@
     /** @return the prefix of this shard's item keys. */
     std::string prefix() const;
 
-    /** Replaces everything by what the store holds. */
+    /** Replaces all claims by @p items as read from the store. */
     result<void> load(const std::vector<table_item>& items);
 
-    /** @return the live claim on @p key, or null; released ones are none. */
+    /**
+     * @return the live claim on @p key, or null; a released claim does not
+     * count.
+     */
     const claim* find(const std::string& key, std::int64_t minute) const;
 
-    /** Adds or changes a claim in the item of @p minute; not yet stored. */
+    /**
+     * Adds or changes a claim in the item of @p minute. It is not stored yet.
+     */
     void put(const claim& added, std::int64_t minute);
 
-    /** Adds this shard's conditions and its changed items. */
+    /** Adds this shard's conditions and its changed items to @p transaction. */
     void add_to(table_transaction& transaction) const;
 
-    /** The changed items were stored with @p revision. */
+    /** Marks the changed items as stored with @p revision. */
     void stored(std::uint64_t revision);
 
     bool is_changed() const noexcept;
