--- a/include/tillerhall/routing/client_accounts.hpp
+++ b/include/tillerhall/routing/client_accounts.hpp
@@ -1,4 +1,4 @@
-/** @file The client accounts of one version and who holds which key. */
+/** @file The client accounts of one configuration version and their keys. */
 #pragma once
 
 #include "tillerhall/core/result.hpp"
@@ -15,25 +15,25 @@
 namespace tillerhall
 {
 
-/** How many calls an account may make over all nodes; 0 a second: any. */
+/** Limits on the calls of an account over all nodes. */
 struct account_quota
 {
-    double per_s = 0;
-    double burst = 0; ///< calls beyond that, at once
+    double per_s = 0; ///< calls a second; 0: no limit
+    double burst = 0; ///< calls allowed at once beyond that rate
 
     bool is_limited() const noexcept { return per_s > 0; }
     bool operator==(const account_quota&) const = default;
 };
 
-/** One account. Its keys are held by `client_accounts` only. */
+/** An account. Its keys are held by `client_accounts` only. */
 struct client_account
 {
     std::string name;
-    std::uint32_t rank = 0; ///< urgency; goes before that of the route
+    std::uint32_t rank = 0; ///< urgency; overrides the route's rank
     account_quota quota;
 };
 
-/** An account and its keys, as a version is read. */
+/** An account and its keys, as read from a configuration version. */
 struct account_entry
 {
     client_account account;
@@ -41,8 +41,8 @@
 };
 
 /**
- * Immutable. Keys are held as digests under a secret of this process, 32 bytes
- * each, so that neither its memory nor the time of a lookup tells them.
+ * Immutable. Keys are stored as keyed digests under a random secret of this
+ * process, so that neither its memory nor the time of a lookup reveals them.
  */
 class client_accounts : public boost::intrusive_ref_counter<client_accounts>
 {
