--- a/include/tillerhall/routing/cold_gate.hpp
+++ b/include/tillerhall/routing/cold_gate.hpp
@@ -1,4 +1,4 @@
-/** @file Bounds what a cold target gets in any second. */
+/** @file Limits the rate of calls to a cold target. */
 #pragma once
 
 #include "tillerhall/core/time.hpp"
@@ -10,12 +10,14 @@
 {
 
 /**
- * Counts the calls that went to a target in the last second. The load it
- * answers: a target that has just started, or came back, bears so many calls a
- * second and falls over well above that, and a whole failure domain of them
- * comes back at once. Calls count also while the target is warm, since it may
- * get cold with them still under way. What an earlier run of this process sent
- * is not known, so for its first second a cold target gets nothing. Pure.
+ * Counts the calls sent to a target in the last second.
+ *
+ * A target that has just started can serve only a limited rate and may crash
+ * well above it; after an outage a whole failure domain of such targets starts
+ * at once. Calls also count while the target is warm, since it may become cold
+ * while they are still running. The calls sent by a previous run of this
+ * process are not known, so a cold target gets none in the first second. Free
+ * of I/O.
  */
 class cold_gate
 {
@@ -27,16 +29,19 @@
     {
     }
 
-    /** A call goes to the target. */
+    /** Counts a call to the target. */
     void sent(time_point now);
 
-    /** @return whether a target that bears @p per_s calls may get one more. */
+    /**
+     * @return true if a target limited to @p per_s calls a second may get
+     * another call.
+     */
     bool has_room(double per_s, time_point now);
 
-    /** @return the part of what it bears that went there; 1 is all. */
+    /** @return the used share of the limit; 1 is all of it. */
     double used(double per_s, time_point now);
 
-    /** @return when it may get one more. */
+    /** @return the time until the target may get another call. */
     duration wait(double per_s, time_point now);
 
 private:
