--- a/include/tillerhall/routing/domain_drains.hpp
+++ b/include/tillerhall/routing/domain_drains.hpp
@@ -1,4 +1,4 @@
-/** @file Failure domains whose targets get nothing, by the operators' order. */
+/** @file Failure domains that operators have drained. */
 #pragma once
 
 #include <boost/smart_ptr/intrusive_ptr.hpp>
@@ -10,7 +10,10 @@
 namespace tillerhall
 {
 
-/** All orders that stood in the store at one revision. */
+/**
+ * All drain orders in the store at one revision. Targets of a drained domain
+ * get no calls.
+ */
 class domain_drains : public boost::intrusive_ref_counter<domain_drains>
 {
 public:
