--- a/include/tillerhall/routing/failure_shedder.hpp
+++ b/include/tillerhall/routing/failure_shedder.hpp
@@ -1,4 +1,7 @@
-/** @file Sheds calls at a target whose runs fail for want of what they call. */
+/**
+ * @file Sheds calls to a target whose runs fail because services it calls are
+ * full.
+ */
 #pragma once
 
 #include "tillerhall/core/recent_window.hpp"
@@ -10,29 +13,29 @@
 {
 
 /**
- * A run that fails because a call of its own found no room has taken a slot
- * here and places further down for nothing. While more of the runs fail than
- * chance explains, about as large a share of the calls is shed: with two calls
- * a run, what is offered further down then falls to what is served there.
- * Where calls fail for other reasons (targets that refuse or lose some of
- * them whatever the load), fewer runs would fail no less often, so only the
- * part of the failures counts that the calls of this host found no room for.
- * The share follows the last one to two seconds, however few runs a target
- * has, so that it ends soon after the cause. Pure.
+ * Sheds a share of the calls to a target while its runs fail because their own
+ * calls are refused for lack of capacity. Such runs waste a slot here and
+ * capacity at the services they call.
+ *
+ * The share grows with the failures beyond those expected by chance. Only
+ * failures that are due to a lack of capacity count: where calls fail for other
+ * reasons, fewer runs would fail no less often. The share follows the last one
+ * to two seconds, however few runs there are, so that shedding stops soon after
+ * the cause is gone. Free of I/O.
  */
 class failure_shedder
 {
 public:
-    /** Of the last runs so many may fail by chance. */
+    /** Share of failed runs that is taken to be chance. */
     static constexpr double free_share = 0.15;
-    /** Past this the failures do not come from the load. */
+    /** Upper limit of the shed share; beyond it the load is not the cause. */
     static constexpr double most_shed = 0.5;
-    /** Two of these are looked back on. */
+    /** The counts cover the current span and the one before it. */
     static constexpr duration span = std::chrono::seconds(1);
-    /** Fewer runs than this do not tell a share. */
+    /** With fewer runs the failures are divided by this number. */
     static constexpr double least_runs = 10;
 
-    /** A run ended. */
+    /** Counts a finished run. */
     void ran(bool failed, time_point now)
     {
         auto& counted = m_counts.newest(now);
@@ -40,7 +43,7 @@
         counted.failed += failed ? 1 : 0;
     }
 
-    /** A call of this host got no answer. */
+    /** Counts a call of this host that got no answer. */
     void call_failed(bool for_want_of_room, time_point now)
     {
         auto& counted = m_counts.newest(now);
@@ -48,7 +51,7 @@
         counted.found_no_room += for_want_of_room ? 1 : 0;
     }
 
-    /** @return the share of calls that is shed at @p now. */
+    /** @return the share of calls to shed at @p now. */
     double share(time_point now)
     {
         const auto& before = m_counts.before(now);
@@ -62,7 +65,10 @@
         return std::clamp((failing - free_share) * by_load, 0.0, most_shed);
     }
 
-    /** @param point random in [0, 1) @return whether a call is shed now. */
+    /**
+     * @param point random in [0, 1)
+     * @return true if a call should be shed now.
+     */
     bool sheds(double point, time_point now) { return point < share(now); }
 
 private:
