--- a/include/tillerhall/routing/fleet_budget.hpp
+++ b/include/tillerhall/routing/fleet_budget.hpp
@@ -1,4 +1,4 @@
-/** @file One node's part of a bound on second sends of the whole fleet. */
+/** @file A node's part of a fleet-wide retry budget. */
 #pragma once
 
 #include "tillerhall/core/time.hpp"
@@ -8,39 +8,44 @@
 namespace tillerhall
 {
 
-/** The bound over all nodes, for each service and any window. */
+/** The fleet-wide limit on retries, for each service and any window. */
 struct fleet_budget_limits
 {
-    double ratio = 0.2; ///< second arrivals for each call
-    double extra = 10;  ///< second arrivals beyond that, fleet-wide
+    double ratio = 0.2; ///< retries for each call
+    double extra = 10;  ///< retries beyond that, fleet-wide
     duration window = std::chrono::seconds(10);
 };
 
 /**
- * Spends second sends of one service so that the sum over all nodes keeps the
- * fleet's bound in every window without any message between them.
+ * Limits the retries of one service so that the sum over all nodes stays within
+ * the fleet's limit in every window, without messages between nodes.
  *
- * A bucket that holds at most this node's part of the extra and gains a share
- * of `ratio` with each own call. In any window a node spends at most its
- * bucket and its gains, so the fleet spends at most extra + ratio x calls. A
- * bucket begins empty: a fleet that restarts again and again gains nothing.
- * Pure; not safe for threads.
+ * A token bucket that holds at most this node's part of `extra` and gains a
+ * share of `ratio` with each call of this node. In any window a node spends at
+ * most its bucket and its gains, so the fleet spends at most extra + ratio x
+ * calls. The bucket starts empty, so that repeated restarts of the fleet gain
+ * nothing. Free of I/O; not thread-safe.
  */
 class fleet_budget
 {
 public:
-    /** Part of the bound that is spent. The rest is for what a node cannot
-     * see: members it does not know yet, and repeats that its calls cause
-     * further down. */
+    /**
+     * Share of the limit that is spent. The rest covers what a node cannot see:
+     * members it does not know yet, and repeats that its calls cause at
+     * services further down.
+     */
     static constexpr double spent_part = 0.5;
 
-    /** A call of the service began here. */
+    /** Counts a call of the service that began at this node. */
     void call(const fleet_budget_limits& limits, std::size_t members);
 
-    /** @return whether one second send may be made; if so it is counted. */
+    /**
+     * Takes a token for one retry.
+     * @return false if there is none.
+     */
     bool take();
 
-    /** A send that was counted never reached a target. */
+    /** Returns the token of a retry that never reached a target. */
     void give_back() { m_saved += 1; }
 
     double saved() const noexcept { return m_saved; }
