--- a/include/tillerhall/routing/objectives_in_use.hpp
+++ b/include/tillerhall/routing/objectives_in_use.hpp
@@ -1,4 +1,4 @@
-/** @file Which objectives a node's calls have, to tell short calls. */
+/** @file Which objectives a node's calls have, to recognize short calls. */
 #pragma once
 
 #include "tillerhall/core/time.hpp"
@@ -10,22 +10,24 @@
 {
 
 /**
- * Tells calls whose objective is short beside the longest one in use. Routes
- * that hardly any call takes do not count: a version of the routes may hold
- * hundreds of them with any objective. Pure.
+ * Recognizes calls whose objective is short compared with the longest one in
+ * use. Objectives of routes with hardly any calls do not count: a configuration
+ * version may hold hundreds of them with any objective. Free of I/O.
  */
 class objectives_in_use
 {
 public:
-    /** Calls that targets make had objectives of 0.2 to 0.4 of the longest one
-     * in the deployments known, calls of clients 0.6 and more. */
+    /**
+     * An objective is short up to this share of the longest one in use. Calls
+     * between targets usually lie below it, calls of clients above.
+     */
     static constexpr double short_part = 0.45;
-    /** An objective of fewer of the calls is not in use. */
+    /** An objective is in use if at least this share of the calls has it. */
     static constexpr double least_share = 0.02;
-    /** So many calls are looked back on; then each counts for half. */
+    /** When this many calls are counted, all counts are halved. */
     static constexpr double most_counted = 1000;
 
-    /** A call with @p objective began. */
+    /** Counts a call with @p objective. */
     void saw(milliseconds objective)
     {
         m_calls[objective] += 1;
