--- a/include/tillerhall/routing/policy.hpp
+++ b/include/tillerhall/routing/policy.hpp
@@ -1,4 +1,4 @@
-/** @file The ways to choose one target among several, to choose from. */
+/** @file Policies that choose one target among several. */
 #pragma once
 
 #include "tillerhall/core/random.hpp"
@@ -10,21 +10,21 @@
 namespace tillerhall
 {
 
-/** What is known of a target when one has to be chosen. */
+/** What is known of a target that may be chosen. */
 struct target_standing
 {
     std::uint32_t own_in_flight = 0; ///< calls of this node to it
-    double owner_load = 0;           ///< owner's last word, of its limit
-    double recent_failures = 0;      ///< share of recent calls, 0..1
-    double recent_refusals = 0;      ///< share of recent calls, 0..1
-    double latency_ms = 0;           ///< recent mean, as seen by this node
-    double run_ms = 0;      ///< owner's word on its mean run; 0 unknown
-    double slots = 0;       ///< of the target; 0 unknown
-    double distance_ms = 0; ///< extra time on the way to it
-    double warmth = 1;      ///< 0 cold .. 1 warm
+    double owner_load = 0;      ///< last reported load, as a share of its slots
+    double recent_failures = 0; ///< share of recent calls, 0..1
+    double recent_refusals = 0; ///< share of recent calls, 0..1
+    double latency_ms = 0;      ///< decaying mean, as seen by this node
+    double run_ms = 0;          ///< reported mean run time; 0: unknown
+    double slots = 0;           ///< slots of the target; 0: unknown
+    double distance_ms = 0;     ///< extra time to reach it
+    double warmth = 1;          ///< 0: cold, 1: warm
 };
 
-/** One way of choosing. Stateless; one object of each kind exists. */
+/** A policy. Stateless; one object of each kind exists. */
 class choice_policy
 {
 public:
@@ -34,7 +34,7 @@
 
     /**
      * @param candidates at least one
-     * @param turn grows by one with each choice for the same service
+     * @param turn number of the choice, increases by one with each
      * @return an index into @p candidates.
      */
     virtual std::size_t choose(std::span<const target_standing> candidates,
@@ -42,10 +42,13 @@
                                random_source& random) const = 0;
 };
 
-/** @return every policy; the first is the default. */
+/** @return all policies; the first is the default. */
 std::span<const choice_policy* const> policies() noexcept;
 
-/** @return the policy called @p name, or unknown_name listing all. */
+/**
+ * @return the policy called @p name, or an unknown_name error that lists all
+ * policies.
+ */
 result<const choice_policy*> find_policy(std::string_view name);
 
 } // namespace tillerhall
