--- a/include/tillerhall/routing/refusal_memory.hpp
+++ b/include/tillerhall/routing/refusal_memory.hpp
@@ -1,4 +1,4 @@
-/** @file Remembers which owners have just refused which work. */
+/** @file Caches which owners have recently refused which work. */
 #pragma once
 
 #include "tillerhall/core/address.hpp"
@@ -12,51 +12,51 @@
 namespace tillerhall
 {
 
-/** Calls that an owner refuses or admits alike. */
+/** A kind of calls that an owner refuses or admits alike. */
 struct refused_work
 {
     work_class work;
-    bool came_back = false; ///< after a refusal; such calls go behind others
+    bool came_back = false; ///< a retry after a refusal; admitted behind others
 
     friend auto operator<=>(const refused_work&, const refused_work&) = default;
 };
 
 /**
- * Keeps an entry from asking owners again that have no room for a sort of work.
+ * Keeps an entry from asking owners again that have no free slot for a class of
+ * work.
  *
- * The load it answers: targets turn slow, clients come back at once, and each
- * try asks three full owners. A refusal costs both nodes about what a call
- * does, so telling them took the processor time of the hosts that still served,
- * and calls waited unread for seconds. Of the storm that the test plays, 1,500
- * calls a second that come back four times, entries with this memory ask for an
- * eighth of what they ask for without it, and as many calls run. On a small
- * deployment with slow targets and clients that come back at once 0.5% of the
- * calls failed with it, 13% without it.
+ * When targets slow down and clients retry at once, each attempt would ask
+ * several full owners. A refusal costs both nodes about as much as a call, so
+ * refusals would use up the processor time of the hosts that still serve.
  *
- * Only refusals that are told while the owner's or the entry's processor is
- * pressed are remembered: what an owner has no room for is one call's place in
- * the order, so a pause for all calls of its sort refuses some that would be
+ * Only refusals sent while the owner's or the entry's processor is saturated
+ * are cached. In other cases a refusal concerns the one call and its due time,
+ * and a pause for all calls of the class would refuse calls that could be
  * served.
  *
- * By class of work, so that a booking is not refused since a read was, and
- * apart for those who come back, who are refused earlier. Pure.
+ * Kept by class of work, so that a refused read does not block a booking, and
+ * separately for retries, which are refused earlier. Free of I/O.
  */
 class refusal_memory
 {
 public:
-    /** Owners tell about the time of a run. Of a run of half a second half of
-     * that keeps a place free for a hundredth of it, with a dozen entries that
-     * ask; with 50 ms owners' processors stayed at their whole allowance. */
+    /**
+     * Upper limit of a pause. An owner's Retry-After is about the time of a
+     * run; half a long run is short enough that a slot which becomes free is
+     * soon used.
+     */
     static constexpr milliseconds longest_pause{250};
-    /** So long after a pause an owner is still asked once a pause only. */
+    /** For this long after a pause the owner is asked once a pause only. */
     static constexpr milliseconds kept{1'000};
-    /** Pauses end spread over their last part, so that entries that were
-     * refused together do not ask together. */
+    /**
+     * A pause ends at a random time after this share of it, so that entries
+     * that were refused together do not ask together.
+     */
     static constexpr double least_part = 0.5;
 
     /**
-     * @p owner had no room for @p work.
-     * @param retry_after as the owner told
+     * Records that @p owner has no free slot for @p work.
+     * @param retry_after as sent by the owner
      * @param point random in [0, 1), for the spread
      */
     void refused(const address& owner,
@@ -66,19 +66,21 @@
                  time_point now);
 
     /**
-     * @p owner is asked for @p work. Until it is known to have room it is not
-     * asked again before another pause: in an overload answers take 200 ms,
-     * and without this all calls of that time went to full owners.
+     * Records that @p owner is asked for @p work. It is not asked again before
+     * another pause unless it admits the call: in an overload answers are slow,
+     * and all calls of that time would go to a full owner.
      */
     void asked(const address& owner, const refused_work& work, time_point now);
 
-    /** @p owner has let a call of @p work run. */
+    /** Records that @p owner admitted a call of @p work. */
     void admitted(const address& owner, const refused_work& work);
 
-    /** @return the owners that are not asked for @p work at @p now. */
+    /** @return the owners that must not be asked for @p work at @p now. */
     std::vector<address> refusing(const refused_work& work, time_point now);
 
-    /** @return the shortest time after which one of them told to come back. */
+    /**
+     * @return the shortest Retry-After of these owners; zero if there is none.
+     */
     duration retry_after(const refused_work& work, time_point now) const;
 
 private:
