--- a/include/tillerhall/routing/retry_budget.hpp
+++ b/include/tillerhall/routing/retry_budget.hpp
@@ -1,4 +1,4 @@
-/** @file Bounds retries to a share of calls. */
+/** @file Limits retries to a share of the calls. */
 #pragma once
 
 #include <algorithm>
@@ -7,24 +7,30 @@
 {
 
 /**
- * Each call adds a share of a retry; a retry takes a whole one. So retries
- * never add more than that share to the load, also when everything fails.
- * Pure; not safe for threads.
+ * Each call adds a fraction of a token; a retry takes a whole one. Retries
+ * never add more than that share to the load, even if every call fails. Free of
+ * I/O; not thread-safe.
  */
 class retry_budget
 {
 public:
-    /** Retries that may be saved up while there is little traffic. */
+    /** Most tokens that are saved up while there is little traffic. */
     static constexpr double most_saved = 10;
 
-    /** Counts a call. @param percent retries per hundred calls */
+    /**
+     * Counts a call.
+     * @param percent retries per hundred calls
+     */
     void call(double percent) noexcept
     {
         constexpr double hundred = 100;
         m_saved = std::min(most_saved, m_saved + percent / hundred);
     }
 
-    /** @return whether a retry may be made; if so it is counted. */
+    /**
+     * Takes a token for one retry.
+     * @return false if there is none.
+     */
     bool take() noexcept
     {
         if (m_saved < 1)
