--- a/include/tillerhall/routing/route_view.hpp
+++ b/include/tillerhall/routing/route_view.hpp
@@ -1,4 +1,4 @@
-/** @file Where calls may go: the table and the members, joined in one view. */
+/** @file Joins the table and the member list into one view of the routes. */
 #pragma once
 
 #include "tillerhall/distribution/table_view.hpp"
@@ -18,16 +18,16 @@
     std::vector<member_ptr> targets;
 };
 
-/** The places that serve one service. */
+/** The failure domains (places) that serve one service. */
 struct service_route
 {
     std::vector<place_route> places;
 };
 
 /**
- * An immutable join of one table version with one member list. A route can
- * name no target that is not in that list, so table and targets never get
- * ahead of each other on a node.
+ * An immutable join of one table version with one member list. A route names no
+ * target that is not in that list, so a node never uses a table with the
+ * members of another time.
  */
 class route_view : public boost::intrusive_ref_counter<route_view>
 {
@@ -44,7 +44,7 @@
     /** @return the route to @p service, or null if the table has no row. */
     const service_route* find(const std::string& service) const noexcept;
 
-    /** @return how many services have a row. */
+    /** @return the number of services that have a row. */
     std::size_t route_count() const noexcept { return m_routes.size(); }
 
 private:
