--- a/include/tillerhall/routing/run_estimates.hpp
+++ b/include/tillerhall/routing/run_estimates.hpp
@@ -1,4 +1,4 @@
-/** @file How long runs of each class of work take at a target. */
+/** @file Estimates the run times of each class of work at a target. */
 #pragma once
 
 #include "tillerhall/core/time.hpp"
@@ -11,14 +11,16 @@
 {
 
 /**
- * Decaying means of the runs at one target by class of work. One mean for all
- * would be wrong for each where calls of 16 ms meet runs of 80 ms. Pure.
+ * Decaying means of the run times at one target by class of work. Run times
+ * differ much between classes, so one mean would be wrong for all. Free of I/O.
  */
 class run_estimates
 {
 public:
-    /** Weight of the newest run: runs differ by about their mean, so over 32
-     * of them the mean is known to some 12%. */
+    /**
+     * Runs in the mean. Run times differ by about their mean, so this gives the
+     * mean to about one part in six.
+     */
     static constexpr int mean_share = 32;
 
     void ran(const work_class& work, duration took)
@@ -28,16 +30,18 @@
         known.mean += (took - known.mean) / known.runs;
     }
 
-    /** Before any run has ended, one takes this part of its objective: where
-     * operators' objectives leave room for a wait and a second try, a quarter.
-     * Taken for nothing, a target that had just started let in all that came
-     * until its first run ended: of the 2 s after all nodes had lost power,
-     * when all clients return, two answers in five came late. */
+    /**
+     * Before any run has ended, a run is taken to need its objective divided by
+     * this number, which leaves time for a wait and a retry. Taken for zero, a
+     * target that has just started would admit every call until its first run
+     * ends.
+     */
     static constexpr int unknown_part = 4;
 
     /**
-     * @param mean of all runs at the target; zero before the first has ended
-     * @return how long a run of @p work is expected to take
+     * @param mean mean of all runs at the target; zero before the first has
+     * ended
+     * @return the expected run time of @p work.
      */
     duration expected(const work_class& work, duration mean) const
     {
@@ -45,7 +49,9 @@
         return of(work, mean > duration::zero() ? mean : guessed);
     }
 
-    /** @return the mean run of @p work, or @p unknown if none has ended. */
+    /**
+     * @return the mean run time of @p work, or @p unknown if none has ended.
+     */
     duration of(const work_class& work, duration unknown) const
     {
         const auto found = m_known.find(work);
@@ -56,7 +62,7 @@
     struct estimate
     {
         duration mean{};
-        int runs = 0; ///< in the mean, up to its weight
+        int runs = 0; ///< runs in the mean, at most `mean_share`
     };
 
     std::map<work_class, estimate> m_known;
