--- a/include/tillerhall/routing/service_targets.hpp
+++ b/include/tillerhall/routing/service_targets.hpp
@@ -14,11 +14,11 @@
 namespace tillerhall
 {
 
-/** Members that may get a bounded share of a service's calls. */
+/** Canary targets and the share of a service's calls that they may get. */
 struct trial_targets
 {
     std::vector<member_ptr> members;
-    double share = 0; ///< of the calls that reach the service
+    double share = 0; ///< of the calls to the service
 };
 
 /** An immutable view of one state of the member list. */
@@ -28,19 +28,23 @@
     service_targets() = default;
 
     /**
-     * @param rollouts what releases get; by default all are alike
-     * @param drains failure domains whose targets get nothing
+     * @param rollouts traffic shares of releases; by default all are alike
+     * @param drains failure domains whose targets get no calls
      */
     explicit service_targets(const member_list& members,
                              const rollout_view& rollouts = {},
                              const domain_drains& drains = {});
 
-    /** @return the members that serve @p service with the release that has its
-     * calls; empty if none is known. */
+    /**
+     * @return the members that serve @p service with its stable release; empty
+     * if none is known.
+     */
     const std::vector<member_ptr>& of(const std::string& service) const;
 
-    /** @return the members whose targets' release is not proved, and what they
-     * may get; none for most services at most times. */
+    /**
+     * @return the canary targets of @p service; empty unless a roll-out is
+     * under way.
+     */
     const trial_targets& on_trial(const std::string& service) const;
 
     /**
@@ -49,13 +53,15 @@
      */
     const std::vector<member_ptr>& leaving(const std::string& service) const;
 
-    /** @return how many members run, this node included. */
+    /** @return the number of live members, this node included. */
     std::size_t live_members() const noexcept { return m_live; }
 
 private:
     using by_service = std::map<std::string, std::vector<member_ptr>>;
 
-    /** Moves what may not have all calls of its service out of the lists. */
+    /**
+     * Takes the members out of the lists whose releases may not get all calls.
+     */
     void part_by_release(const std::string& service,
                          std::vector<member_ptr>& members,
                          const rollout_view& rollouts);
