--- a/include/tillerhall/routing/share_sequence.hpp
+++ b/include/tillerhall/routing/share_sequence.hpp
@@ -1,4 +1,4 @@
-/** @file Deals a route's calls to its services by weight. */
+/** @file Distributes a route's calls over its services by weight. */
 #pragma once
 
 #include "tillerhall/routing/call_route.hpp"
@@ -11,15 +11,18 @@
 
 /**
  * A golden-ratio sequence for each route: any run of consecutive calls is
- * spread over the unit interval, so shares are kept also over short spans,
- * where independent random draws would stray (Kuipers and Niederreiter,
- * Uniform Distribution of Sequences, 1974). Pure; not safe for threads.
+ * spread evenly over the unit interval, so weights are also kept over short
+ * spans, where independent random draws would deviate (Kuipers and
+ * Niederreiter, Uniform Distribution of Sequences, 1974). Free of I/O; not
+ * thread-safe.
  */
 class share_sequence
 {
 public:
-    /** @param start in [0, 1); differs by node, so that nodes do not step
-     * together */
+    /**
+     * @param start in [0, 1); must differ between nodes, so that they do not
+     * step together
+     */
     explicit share_sequence(double start)
         : m_start(start)
     {
