--- a/include/tillerhall/routing/usual_budgets.hpp
+++ b/include/tillerhall/routing/usual_budgets.hpp
@@ -1,4 +1,6 @@
-/** @file How much time clients give a call, to tell those that come back. */
+/**
+ * @file Infers from a call's remaining time how long ago its first attempt was.
+ */
 #pragma once
 
 #include "tillerhall/core/recent_window.hpp"
@@ -11,18 +13,21 @@
 {
 
 /**
- * A client that is refused comes back with what is left of its time. The
- * longest time left that calls of a class of work came with lately is taken
- * for what clients give it; what a call has less has passed since its first
- * try. Pure.
+ * Clients that retry a refused call send it with the remaining time of their
+ * deadline. The longest recent remaining time of a class of work is taken as
+ * the clients' deadline budget; the time that a call lacks has passed since its
+ * first attempt. Free of I/O.
  */
 class usual_budgets
 {
 public:
-    /** Clients of a quiet route call so often at least. */
+    /** Long enough to include calls of a quiet route. */
     static constexpr duration span = std::chrono::seconds(10);
 
-    /** @return the time passed since the first try of a call with @p left. */
+    /**
+     * @param left remaining time of a call
+     * @return the time since the first attempt of the call.
+     */
     duration elapsed(const work_class& work, duration left, time_point now)
     {
         auto& seen = m_seen.try_emplace(work).first->second;
