--- a/include/tillerhall/routing/work_class.hpp
+++ b/include/tillerhall/routing/work_class.hpp
@@ -1,4 +1,4 @@
-/** @file Sorts of calls that an owner treats alike. */
+/** @file Classes of calls that an owner treats alike. */
 #pragma once
 
 #include "tillerhall/core/time.hpp"
@@ -11,8 +11,9 @@
 {
 
 /**
- * Calls of one service with the same terms. A route's name would tell more but
- * has to cross the network with each call; these are sent anyway.
+ * Calls of one service with the same rank, objective and kind. These are sent
+ * with each call anyway; a route's name would be more precise but would have to
+ * be sent, too.
  */
 struct work_class
 {
