--- a/include/tillerhall/routing/run_estimates.hpp
+++ b/include/tillerhall/routing/run_estimates.hpp
@@ -18,8 +18,8 @@
 {
 public:
     /**
-     * Runs in the mean. Run times differ by about their mean, so this gives the
-     * mean to about one part in six.
+     * The newest run has a weight of 1 / mean_share, more while fewer have
+     * ended.
      */
     static constexpr int mean_share = 32;
 
