--- a/include/tillerhall/routing/client_accounts.hpp
+++ b/include/tillerhall/routing/client_accounts.hpp
@@ -29,7 +29,7 @@
 struct client_account
 {
     std::string name;
-    std::uint32_t rank = 0; ///< urgency; overrides the route's rank
+    std::uint32_t rank = 0; ///< urgency; compared before the route's rank
     account_quota quota;
 };
 
