--- a/include/tillerhall/routing/service_targets.hpp
+++ b/include/tillerhall/routing/service_targets.hpp
@@ -49,7 +49,7 @@
 
     /**
      * @return the members in a planned stop whose targets still serve
-     * @p service: for when no other has room.
+     * @p service; used when no other has a free slot.
      */
     const std::vector<member_ptr>& leaving(const std::string& service) const;
 
