--- a/include/tillerhall/routing/target_board.hpp
+++ b/include/tillerhall/routing/target_board.hpp
@@ -1,4 +1,7 @@
-/** @file What this node has seen of every target it calls. */
+/**
+ * @file What this node knows of the targets it calls, and the choice among
+ * them.
+ */
 #pragma once
 
 #include "tillerhall/core/address.hpp"
@@ -19,49 +22,51 @@
 namespace tillerhall
 {
 
-/** How a call to a target ended, as far as choosing is concerned. */
+/** Result of a call to a target, as far as the choice is concerned. */
 enum class call_verdict
 {
     good,
-    refused, ///< not run; the target is full, not bad
+    refused, ///< not run; the target is full but healthy
     failed,
-    unknown ///< ended from outside; says nothing about the target
+    unknown ///< aborted from outside; says nothing about the target
 };
 
-/** What the owner of a target told with an answer. */
+/** The load report that an owner sends with an answer. */
 struct owner_word
 {
-    std::optional<double> load; ///< calls running and waiting, of its slots
-    double run_ms = 0;          ///< mean run of that class of work; 0 unknown
-    double slots = 0;           ///< of the target; 0 unknown
-    /** Of bodies on their way to the owner; told only when it is asked. */
+    std::optional<double> load; ///< running and waiting calls, as a share of
+                                ///< its slots
+    double run_ms = 0; ///< mean run time of the class of work; 0: unknown
+    double slots = 0;  ///< slots of the target; 0: unknown
+    /** Request bodies in transit to the owner; only sent when it is asked. */
     std::uint64_t incoming_bytes = 0;
-    /** The link takes so long for the answers before a new large one. */
+    /** Link time of the answers ahead of a new large one. */
     milliseconds link_backlog{0};
-    /** The owner's processor has more to do than it can. */
+    /** True if the owner's processor is saturated. */
     bool is_pressed = false;
 };
 
-/** Where a call comes from and what it carries, for its way to a target. */
+/** Where a call comes from and what it carries. */
 struct call_origin
 {
-    const member_place* place = nullptr; ///< null: all ways are alike
-    const address* node = nullptr;       ///< the entry; no way to itself
-    std::size_t bytes = 0;               ///< of the call's body
-    work_class work;                     ///< by which runs are compared
+    const member_place* place = nullptr; ///< null: all distances are equal
+    const address* node = nullptr; ///< the entry; its own link is not used
+    std::size_t bytes = 0;         ///< size of the request body
+    work_class work;               ///< run times are compared within it
 };
 
-/** A call to a target that ended. */
+/** A finished call to a target. */
 struct ended_call
 {
     call_verdict verdict = call_verdict::unknown;
     duration took{};
-    owner_word told; ///< by the owner, with its answer
+    owner_word told; ///< sent by the owner with its answer
     work_class work;
-    std::size_t answer_bytes = 0; ///< of its body; 0 unless answered
+    std::size_t answer_bytes = 0; ///< size of the answer body; 0 unless
+                                  ///< answered
 };
 
-/** A target that was chosen for a call. */
+/** The target chosen for a call, and its limits. */
 struct chosen_target
 {
     member_ptr owner;
@@ -69,11 +74,11 @@
 };
 
 /**
- * Chooses targets. First a failure domain by the table's weights, each cut
- * down by the share of its targets that fail or refuse, then a target there
- * by the policy; targets that failed lately are set aside, but
- * never more than half of a place, so that a failure of the observer cannot
- * empty a service. Safe for threads. Lock order: a leaf.
+ * Chooses targets: first a failure domain by the table's weights, each reduced
+ * by the share of its targets that fail or refuse, then a target there by the
+ * policy. Targets that failed recently are set aside, but never more than half
+ * of a domain, so that a fault of this node cannot empty a service.
+ * Thread-safe. Lock order: a leaf.
  */
 class target_board
 {
@@ -86,7 +91,7 @@
 
     /**
      * @param avoid owners already tried for this call
-     * @return nothing when no target of @p service takes calls.
+     * @return nothing if no target of @p service takes calls.
      */
     std::optional<chosen_target> choose(const route_view& routes,
                                         const std::string& service,
@@ -95,9 +100,8 @@
 
     /**
      * Chooses among @p candidates, which all serve one service.
-     * @param from other domains are further away, bytes to them cost, and
-     * full links take long
-     * @return one that is not in @p avoid, or null.
+     * @param from origin of the call, for the costs of distance and links
+     * @return a member that is not in @p avoid, or null.
      */
     member_ptr choose_among(const std::vector<member_ptr>& candidates,
                             const std::vector<address>& avoid,
@@ -105,30 +109,33 @@
                             time_point now);
 
     /**
-     * @return whether a target of @p service other than @p avoid may have a
-     * free place, as far as owners have told. If none has, a refused call
-     * tried elsewhere would only add to the load.
+     * @return true if a target of @p service other than @p avoid may have a
+     * free slot according to the load reports. If none has, a retry of a
+     * refused call elsewhere would only add to the load.
      */
     bool has_room(const route_view& routes,
                   const std::string& service,
                   const std::vector<address>& avoid,
                   time_point now);
 
-    /** A call to @p owner begins. */
+    /** Counts a call to @p owner that begins. */
     void started(const address& owner);
 
-    /** A call to @p owner ended. */
+    /** Records a finished call to @p owner. */
     void ended(const address& owner, const ended_call& call, time_point now);
 
-    /** Takes the word of an owner that was asked; it took @p round_trip. */
+    /**
+     * Records the load report of an owner that was asked.
+     * @param round_trip time between question and answer
+     */
     void told(const address& owner,
               const owner_word& word,
               duration round_trip,
               time_point now);
 
     /**
-     * @return how long a call would be on the link of @p to: the wait before
-     * it, as told a moment ago, and its own bytes; zero if not known.
+     * @return the time of a call on the link of @p to: the wait according to
+     * a recent load report, and its own bytes; zero if unknown.
      */
     duration
     time_on_link(const member& to, const call_origin& from, time_point now);
@@ -137,19 +144,22 @@
     owner_outlook
     outlook(const member& owner, const call_origin& from, time_point now);
 
-    /** @return whether @p owner has a free place by the last that is known. */
+    /** @return true if @p owner had a free slot by its last load report. */
     bool has_room(const address& owner);
 
-    /** @return whether @p owner has told a moment ago that it is full. */
+    /** @return true if @p owner recently reported that it is full. */
     bool seems_full(const address& owner, time_point now);
 
-    /** @return the mean bytes of the answers to @p work; 0 if not known. */
+    /** @return the mean answer size of @p work in bytes; 0 if unknown. */
     double answer_bytes(const work_class& work);
 
     /** Counts a call of @p service towards its retry budget. */
     void count_call(const std::string& service, std::int64_t percent);
 
-    /** @return whether @p service 's budget allows one retry more. */
+    /**
+     * Takes a retry from the budget of @p service.
+     * @return false if there is none.
+     */
     bool take_retry(const std::string& service);
 
 private:
@@ -157,8 +167,10 @@
     {
         std::uint32_t in_flight = 0;
         double load = 0;
-        /** By class of work: of a mean over all calls, a target that gets the
-         * short ones would look quick and draw the others, too. */
+        /**
+         * By class of work: by a mean over all calls a target that gets the
+         * short ones would seem fast and attract the long ones, too.
+         */
         std::map<work_class, double> run_ms;
         double slots = 0;
         double failures = 0; ///< decaying share of recent calls
@@ -166,14 +178,14 @@
         double latency_ms = 0;
         double incoming_bytes = 0;    ///< at `asked`
         milliseconds link_backlog{0}; ///< at `told_at`
-        time_point told_at{};         ///< when the owner told anything
+        time_point told_at{};         ///< time of the last load report
         double round_trip_ms = 0;     ///< at `asked`
         time_point asked{};
         time_point first_seen{};
         time_point last_end{};
     };
 
-    /** Picks by the policy, setting aside what failed lately. */
+    /** Chooses by the policy, without targets that failed recently. */
     member_ptr pick(const std::vector<member_ptr>& left,
                     const call_origin& from,
                     time_point now);
@@ -187,8 +199,10 @@
     record& record_of(const address& owner, time_point now);
     static bool has_free_place(const record& of);
     target_standing standing(const record& of, time_point now) const;
-    /** @return milliseconds that an answer of @p bytes would need to leave the
-     * host of @p to, behind those that its owner told of. */
+    /**
+     * @return the milliseconds until an answer of @p bytes would have left the
+     * host of @p to, behind the answers that its owner reported.
+     */
     static double answer_link_ms(const member& to,
                                  const record& known,
                                  double bytes,
