--- a/include/tillerhall/targets/target_report.hpp
+++ b/include/tillerhall/targets/target_report.hpp
@@ -1,4 +1,4 @@
-/** @file What a target tells the node beside it about itself. */
+/** @file The reports of a target to its node. */
 #pragma once
 
 #include "tillerhall/core/address.hpp"
@@ -14,26 +14,28 @@
 enum class report_state
 {
     ready,    ///< send it work
-    draining, ///< it will end: no new work
-    leaving   ///< the last word before its end: no new work
+    draining, ///< it is going to stop: no new work
+    leaving   ///< its last report before it stops: no new work
 };
 
-/** One report. Starts of a target usually have ids of their own; two that share
- * one are told apart by when they began. */
+/**
+ * A report. Starts of a target usually have ids of their own; two starts with
+ * the same id are told apart by their start time.
+ */
 struct target_report
 {
     std::string id;
-    std::uint64_t born_ms = 0; ///< wall clock of its start; 0 if not told
+    std::uint64_t born_ms = 0; ///< wall clock of its start; 0 if not given
     std::string service;
     address where;
     std::string domain;     ///< failure domain
     std::string release;    ///< version of the target's software
-    std::int64_t slots = 1; ///< requests that it works on at once
+    std::int64_t slots = 1; ///< requests that it processes at once
     report_state state = report_state::ready;
-    std::uint64_t sequence = 0; ///< rises with each report of this id
-    milliseconds cold_for{0};   ///< how much longer it is slow from its start
+    std::uint64_t sequence = 0; ///< increases with each report of this id
+    milliseconds cold_for{0};   ///< how much longer it is cold
 
-    /** @return what names this start of the target and no other. */
+    /** @return an id of this start of the target. */
     std::string start() const
     {
         return born_ms == 0 ? id : id + '@' + std::to_string(born_ms);
