--- a/include/tillerhall/targets/target_register.hpp
+++ b/include/tillerhall/targets/target_register.hpp
@@ -1,4 +1,4 @@
-/** @file Which target stands beside this node and whether it takes work. */
+/** @file Which target is next to this node and whether it takes work. */
 #pragma once
 
 #include "tillerhall/targets/target_report.hpp"
@@ -12,62 +12,75 @@
 namespace tillerhall
 {
 
-/** What taking a report did. */
+/** Effect of a report. */
 enum class report_verdict
 {
-    unchanged, ///< it said what was known
-    opened,    ///< a target takes work now that did not before
-    changed,   ///< other facts of the target in use
+    unchanged, ///< nothing new
+    opened,    ///< a target takes work that did not before
+    changed,   ///< other properties of the target in use
     closed,    ///< the target in use takes no more work
-    stale      ///< an older report, or one of a target that left
+    stale      ///< an older report, or one of a target that has left
 };
 
 std::string_view name_of(report_verdict verdict) noexcept;
 
 /**
- * The targets that reported to this boot of the node.
+ * The targets that have reported to this boot of the node.
  *
- * A start that left is left for ever, and a later start under the same id
- * begins anew. Within a start the sequence decides, so a late report never
- * revives anything; of two starts under one id the later born is in use.
- * Between ids the one that was heard first last is in use; an older one takes
- * over again only with a sequence it has not used. No target is in use before
- * `marks_known`: a node that was started again must not trust a report that may
- * be older than a leaving its earlier boot acknowledged. Pure.
+ * A start of a target that has left never returns; a later start under the same
+ * id is a new target. The reports of a start are ordered by their sequence, so
+ * a late report never revives anything; of two starts under one id the later
+ * one is in use. Among different ids the one whose first report came last is in
+ * use; an older one takes over again only with a sequence that it has not used.
+ * No target is in use before `marks_known`: after a restart the node must not
+ * trust a report that may be older than a departure which its earlier boot
+ * acknowledged. Free of I/O.
  */
 class target_register
 {
 public:
-    /** Ids that left are kept for this many targets; older reports than that
-     * do not travel so long. */
+    /**
+     * Number of departure records kept. Reports older than that are no longer
+     * in transit.
+     */
     static constexpr std::size_t most_marks = 8;
 
     report_verdict take(const target_report& report, time_point now);
 
-    /** Notes that the start @p start of a target has left, from a report or a
-     * kept mark. @return whether it was in use until now. */
+    /**
+     * Records the departure of @p start, from a report or a stored departure
+     * record.
+     * @return true if it was in use until now.
+     */
     bool mark_left(const std::string& start);
 
-    /** The marks of earlier boots have been read. */
+    /**
+     * To be called when the departure records of earlier boots have been read.
+     */
     void set_marks_known() noexcept { m_marks_known = true; }
     bool marks_known() const noexcept { return m_marks_known; }
 
-    /** @return starts that left, the newest last. */
+    /** @return the starts that have left, the newest last. */
     const std::vector<std::string>& left() const noexcept { return m_left; }
     bool has_left(const std::string& start) const;
 
     /** @return the target that takes work, or null. */
     const target_report* in_use() const noexcept;
 
-    /** @return the last ready target heard of, whether in use yet or not. */
+    /**
+     * @return the target of the last ready report, whether it is in use or not;
+     * null if there is none.
+     */
     const target_report* newest() const noexcept;
 
-    /** @return whether the target in use is still slow from its start. */
+    /** @return true if the target in use is cold. */
     bool is_cold(time_point now) const noexcept { return now < m_cold_until; }
     time_point cold_until() const noexcept { return m_cold_until; }
 
-    /** Until its next report the target is taken for cold, for @p span at most:
-     * it may have got cold while nothing was sent to it. */
+    /**
+     * Takes the target for cold until its next report, for @p span at most: it
+     * may have become cold while nothing was sent to it.
+     */
     void suppose_cold(duration span, time_point now) noexcept
     {
         m_cold_until = std::max(m_cold_until, now + span);
@@ -75,13 +88,13 @@
 
 private:
     report_verdict take_leaving(const target_report& report);
-    /** @return whether a later start under the same id is in use. */
+    /** @return true if a later start under the same id is in use. */
     bool is_outdated(const target_report& report, time_point now) const;
 
     std::map<std::string, std::uint64_t> m_sequences; ///< by start
     std::vector<std::string> m_left;
     std::optional<target_report> m_current;
-    time_point m_heard{}; ///< the last report of the one in use
+    time_point m_heard{}; ///< time of the last report of the target in use
     time_point m_cold_until{};
     bool m_marks_known = false;
 };
