--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -11,14 +11,13 @@
 constexpr std::array<std::string_view, 5> verdict_names{
     "run", "wait", "rate_exceeded", "queue_full", "deadline_too_near"};
 
-// Weight of the newest run in the mean: runs differ by as much as their mean,
-// so over 32 of them the mean is known to some 12%.
+// The newest run time has a weight of 1 / mean_share in the mean.
 constexpr int mean_share = 32;
 constexpr double least_burst = 1;
-// One grant in so many goes to a less urgent rank that waits: it then gets a
-// fifth of the slots, a quarter of what the urgent one does.
+// One grant in this many goes to the next rank that waits, which so gets a
+// fifth of the slots.
 constexpr unsigned less_urgent_every = 5;
-// A tenth of a second's worth may come at once.
+// The rate limit's burst, as seconds of its rate.
 constexpr double burst_seconds = 0.1;
 
 token_bucket bucket_for(double per_second)
@@ -107,8 +106,8 @@
 void admission::leave(time_point now, duration took)
 {
     --m_in_flight;
-    // The first runs count alike: a mean that grew from nothing would make a
-    // target that has just started look like the quickest one.
+    // The first runs have equal weights: a mean that grows from zero would make
+    // a target that has just started seem the fastest.
     m_runs_counted = std::min(m_runs_counted + 1, mean_share);
     m_mean_run += (took - m_mean_run) / m_runs_counted;
     grant_free_slots(now);
@@ -155,7 +154,7 @@
     auto& callers = queue->callers;
     std::erase_if(callers,
                   [](const auto& each) { return each.second.empty(); });
-    // The services in turn: the first one after the one served last.
+    // Round-robin: the first caller after the one served last.
     auto next = callers.upper_bound(queue->last_served);
     if (next == callers.end())
         next = callers.begin();
@@ -182,7 +181,7 @@
 {
     if (m_in_flight < m_limits.in_flight && m_waiting == 0)
         return duration::zero();
-    // With all places taken one gets free each mean run / places.
+    // If all slots are taken one becomes free every mean run time / slots.
     auto ahead = m_mean_run;
     for (const auto& [each, queue] : m_ranks)
         if (each <= rank)
