--- a/src/routing/call_routes.cpp
+++ b/src/routing/call_routes.cpp
@@ -21,7 +21,7 @@
     return lower;
 }
 
-/** @return what is wrong with @p route, empty if nothing is. */
+/** @return what is wrong with @p route; empty if nothing is. */
 std::string fault_of(const call_route& route)
 {
     if (route.host.empty())
@@ -89,7 +89,7 @@
     auto key = lower_host(host);
     const auto host_size = key.size();
     key += target.substr(0, target.find('?'));
-    // Prefixes end with a slash, so only cuts behind a slash can match.
+    // Prefixes end with a slash, so only positions after a slash can match.
     while (key.size() > host_size)
     {
         key.resize(key.rfind('/') + 1);
