--- a/src/routing/client_accounts.cpp
+++ b/src/routing/client_accounts.cpp
@@ -21,7 +21,8 @@
 {
     secret made{};
     if (RAND_bytes(made.data(), static_cast<int>(made.size())) != 1)
-        throw std::runtime_error("no random bytes for the secret of keys");
+        throw std::runtime_error("cannot create a secret for client keys: "
+                                 "no random bytes available");
     return made;
 }
 
@@ -42,7 +43,7 @@
 {
     if (account.name.empty())
         return "has no name";
-    // Targets are told the name in a field of a request.
+    // The name is sent to targets in a header field.
     if (std::ranges::any_of(account.name, [](unsigned char each)
                             { return std::iscntrl(each) != 0; }))
         return "has a name that is no line of text";
@@ -56,7 +57,7 @@
 std::size_t
 client_accounts::digest_hash::operator()(const digest& of) const noexcept
 {
-    std::size_t hash = 0; // the bits of a digest are as good as any hash
+    std::size_t hash = 0; // a digest is a uniform hash
     std::memcpy(&hash, of.data(), sizeof(hash));
     return hash;
 }
