--- a/src/routing/cold_gate.cpp
+++ b/src/routing/cold_gate.cpp
@@ -45,7 +45,7 @@
     const auto most = most_of(per_s);
     if (m_sent.size() < most)
         return begin - now;
-    // The oldest that must be out of the window for one more to fit.
+    // This call must leave the window before another one fits.
     const auto& oldest = m_sent[m_sent.size() - most];
     return std::max(begin, oldest + window) - now;
 }
