--- a/src/routing/fleet_budget.cpp
+++ b/src/routing/fleet_budget.cpp
@@ -9,7 +9,7 @@
 {
     const auto nodes = static_cast<double>(std::max<std::size_t>(1, members));
     const double most = std::max(1.0, limits.extra / nodes) * spent_part;
-    // One whole send must fit, or a small part could never be spent.
+    // A whole token must fit, or a small node could never retry.
     m_saved =
         std::min(std::max(1.0, most), m_saved + limits.ratio * spent_part);
 }
