--- a/src/routing/link_schedule.cpp
+++ b/src/routing/link_schedule.cpp
@@ -7,9 +7,9 @@
 namespace
 {
 
-// What is late goes behind all that is due within this, which is as long as the
-// objectives of calls with large answers; so it waits no longer than this for
-// others, however many come.
+// A late body goes after all bodies that are due within this time, so it waits
+// for them no longer than this. About the longest objective of calls with large
+// answers.
 constexpr std::chrono::seconds late_goes_behind(2);
 
 } // namespace
