--- a/src/routing/load_inquiry.cpp
+++ b/src/routing/load_inquiry.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-/** Moves random ones of @p from to @p into. */
+/** Moves at most @p most random elements of @p from to @p into. */
 void add_some(std::vector<std::size_t>& into,
               std::vector<std::size_t> from,
               std::size_t most,
