--- a/src/routing/policy.cpp
+++ b/src/routing/policy.cpp
@@ -9,13 +9,13 @@
 namespace
 {
 
-// A failure counts like this many calls in flight.
+// A failed target costs as much as one with this many calls in flight.
 constexpr double failure_weight = 20;
-// A full queue at the owner counts like this many calls in flight.
+// A fully loaded owner costs as much as this many calls in flight.
 constexpr double load_weight = 8;
 constexpr double least_warmth = 0.1;
 
-/** @return the cost of one more call; the lower the better. */
+/** @return the relative cost of one more call. */
 double cost_of(const target_standing& of)
 {
     const double waiting = 1 + of.own_in_flight + load_weight * of.owner_load;
@@ -24,7 +24,7 @@
     return waiting * time * failing / std::max(least_warmth, of.warmth);
 }
 
-/** The better of two random ones (Mitzenmacher, IEEE TPDS 2001). */
+/** Takes the better of two random candidates (Mitzenmacher, IEEE TPDS 2001). */
 class two_choices_policy : public choice_policy
 {
 public:
@@ -45,10 +45,11 @@
 };
 
 /**
- * The one with the least expected time for one call more: the owner's word on
- * the mean run, stretched by its load and by what this node has sent since,
- * plus the way there. The owners' words are about the same mix of calls, so
- * they compare where this node's own few samples would not.
+ * Takes the candidate with the least expected time for one more call: the
+ * reported mean run time, scaled by the owner's load and the calls this node
+ * has sent since, plus the distance. Load reports of all owners are about the
+ * same mix of calls, so they can be compared where this node's own few samples
+ * could not.
  */
 class least_time_policy : public choice_policy
 {
@@ -63,7 +64,7 @@
         double least = 0;
         for (std::size_t i = 0; i < candidates.size(); ++i)
         {
-            // A little noise, so that nodes with the same view differ.
+            // Noise, so that nodes with the same view choose differently.
             const double noise = 1 + choice_noise * random.unit();
             const double time = expected_ms(candidates[i], typical) * noise;
             if (i != 0 && time >= least)
@@ -76,7 +77,7 @@
 
 private:
     static constexpr double choice_noise = 0.1;
-    // A target slows down before it is full; past that, calls queue.
+    // A target slows down before it is full; from `queue_from` on calls queue.
     static constexpr double busy_slope = 0.3;
     static constexpr double queue_from = 0.85;
     static constexpr double queue_slope = 3;
@@ -108,7 +109,7 @@
     }
 };
 
-/** Each in its turn. */
+/** Takes the candidates in turn. */
 class round_robin_policy : public choice_policy
 {
 public:
@@ -121,7 +122,7 @@
     }
 };
 
-/** The one with the fewest of this node's calls in flight. */
+/** Takes the candidate with the fewest calls of this node in flight. */
 class least_in_flight_policy : public choice_policy
 {
 public:
@@ -133,7 +134,7 @@
                        std::uint64_t turn,
                        random_source&) const override
     {
-        // Ties are broken by turn, else the first would take them all.
+        // Ties are broken in turn, or the first would take them all.
         std::size_t best = turn % candidates.size();
         for (std::size_t i = 0; i < candidates.size(); ++i)
             if (candidates[i].own_in_flight < candidates[best].own_in_flight)
