--- a/src/routing/service_targets.cpp
+++ b/src/routing/service_targets.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-/** @return how many of @p members have each release, where it is told. */
+/** @return the number of @p members of each release that is known. */
 std::map<std::string, std::size_t>
 count_releases(const std::vector<member_ptr>& members)
 {
@@ -21,9 +21,9 @@
 }
 
 /**
- * @return the release that has the calls, where nobody has told: the one of
- * most targets, of equals the first by name. Not one that was ordered and is
- * not proved, nor a closed one.
+ * @return the release that gets the calls where no stable release is stored:
+ * that of most targets, among equals the first by name. Neither the release of
+ * a running roll-out nor a closed one.
  */
 std::string usual_release(const std::string& service,
                           const std::map<std::string, std::size_t>& counts,
@@ -108,8 +108,8 @@
         parts[standing(each)].push_back(each);
     auto& staying = parts[release_standing::settled];
     auto& ordered = parts[release_standing::trial];
-    // In the last step the old release gets no more calls, unless nobody else
-    // is there to take them.
+    // In the last step the old release gets no more calls, unless no other
+    // target can take them.
     const bool moves = has_all_calls(rollouts, service) &&
                        (!ordered.empty() || staying.empty());
     if (leaving != m_leaving.end())
@@ -145,7 +145,7 @@
         return;
     std::erase_if(newcomers, [&](const member_ptr& each)
                   { return is_suspect(rollouts, service, *each); });
-    // The same ones at every entry, so that few targets get the whole share.
+    // The same targets at every entry, so that few targets get the whole share.
     std::ranges::sort(newcomers, {},
                       [](const member_ptr& each)
                       { return stable_hash(each->target_id); });
