--- a/src/routing/suspect_calls.cpp
+++ b/src/routing/suspect_calls.cpp
@@ -8,11 +8,12 @@
 namespace
 {
 
-// Hosts' clocks may differ by this: a run that was told to be before an end may
-// have come after it. A call that ends each target never runs well.
+// Clocks of hosts may differ by this much, so a run that was reported to be
+// before a crash may have come after it. A call that crashes each target never
+// succeeds.
 constexpr std::uint64_t clock_slack_ms = 5'000;
 
-// Ends further apart are of other copies than those that came first.
+// Crashes further apart than this belong to different rounds.
 constexpr milliseconds round_gap(2'500);
 
 std::size_t rounds_of(const std::vector<ends_under_call::end>& in_order)
@@ -27,14 +28,14 @@
 
 milliseconds hold_after(std::size_t rounds)
 {
-    // Enough for the longest hold, and no shift out of the number.
+    // Enough to reach the longest quarantine, and no overflow of the shift.
     constexpr std::size_t most_doublings = 10;
     const auto doublings = std::min(rounds - 1, most_doublings);
     return std::min<milliseconds>(suspect_calls::first_hold * (1U << doublings),
                                   suspect_calls::longest_hold);
 }
 
-/** @return @p at's age; an end that a clock ahead of ours told is new. */
+/** @return the age of @p at_ms; zero if a remote clock is ahead. */
 milliseconds age_of(std::uint64_t at_ms, std::uint64_t now_ms)
 {
     return milliseconds(now_ms > at_ms ? now_ms - at_ms : 0);
