--- a/src/routing/target_board.cpp
+++ b/src/routing/target_board.cpp
@@ -13,45 +13,41 @@
 
 // Weight of the newest call in the decaying means.
 constexpr double newest_share = 0.1;
-// With this share of failures a target is set aside.
+// A target with this share of failures is set aside.
 constexpr double aside_share = 0.5;
-// What was seen of a target loses half its meaning in this time.
+// Half-life of what is known of a target.
 constexpr double half_life_s = 5;
 constexpr double warm_up_s = 5;
-// In the time of one run all places of a target are given anew, so what its
-// owner told holds for a small part of that. With words that hold 2, 1, 0.5,
-// 0.25 and 0.1 runs 17, 18, 14, 9 and 6% of the calls that a test plays meet a
-// full owner first; 19% without questions.
+// A load report is recent for this part of a mean run: within a run all slots
+// of a target are reassigned.
 constexpr double word_holds_runs = 0.1;
-// A target that is asked seldom, since it is on trial, is asked again after
-// about a run: what it told is not replaced by what others ask it.
+// How long a report of a full canary target counts, about a run. Other calls
+// seldom go there, so no newer report replaces it.
 constexpr milliseconds full_holds(200);
-// Refusals tell of the present load, so a few calls are enough to judge by.
+// Weight of the newest call in the share of refusals. They reflect the present
+// load, so few calls are enough.
 constexpr double refusal_share = 0.3;
-// A place whose targets all refuse or fail keeps this share of its weight,
-// so that its recovery is seen.
+// A failure domain whose targets all refuse or fail keeps this share of its
+// weight, so that its recovery is noticed.
 constexpr double least_place_share = 0.1;
 
-// One way and back between domains of a region, and between regions: the
-// users' networks, where a call within a domain takes 0.2 ms.
+// Round-trip times between domains of one region, and between regions.
 constexpr double domain_distance_ms = 4;
 constexpr double region_distance_ms = 40;
 
-// Bytes between domains cost money. A kilobyte weighs
-// about what an answer later by 10 ms does: 14,000 a GB against answers of
-// worth 1 of which some 0.1% more are late for each millisecond.
+// Traffic between domains costs money. One kilobyte is weighted like an answer
+// that is this much later.
 constexpr double ms_per_kb = 10;
-// Heads both ways. Bodies are counted apart: what is sent is known, of an
-// answer the mean of its class of work. Of a class that nothing is known of yet
-// an answer of the same size is taken.
+// Heads in both directions. Bodies are counted separately: the request's by its
+// size, the answer's by the mean of its class of work, or by the default below
+// if that is unknown.
 constexpr double heads_kb = 1;
 constexpr double unknown_answer_bytes = 1024;
 
-// What an owner told of its link holds for about the time of one body.
+// How long a report about a link is recent, about the time of one body.
 constexpr milliseconds word_of_link_holds(100);
-// While a body fills a link, all other calls to that host wait behind it: at
-// the users some 30 a second and host, many of them short ones whose failure
-// fails a run elsewhere. So the time on the link counts for more than itself.
+// While a body fills a link, all other calls to that host wait behind it, so
+// time on the link has a higher weight.
 constexpr double link_weight = 5;
 
 constexpr double kb = 1024;
@@ -121,7 +117,7 @@
     {
         if (weights[i] <= 0)
             continue;
-        chosen = &route.places[i]; // the last one, should rounding pass it
+        chosen = &route.places[i]; // the last one if rounding exceeds the sum
         point -= weights[i];
         if (point < 0)
             break;
@@ -178,7 +174,7 @@
 {
     if (to.link_mbps == 0 || bytes < link_schedule::large_bytes)
         return 0;
-    // Since it was told, the link has gone on.
+    // The link has sent some of the backlog since the report.
     const double left =
         seconds(known.told_at + known.link_backlog - now) * 1000;
     const double own = to_ms(
@@ -252,7 +248,7 @@
     for (std::size_t i = 0; i < left.size(); ++i)
         if (standings[i].recent_failures < aside_share)
             usable.push_back(i);
-    // If most look bad, the fault is as likely here as there: use all.
+    // If most targets seem bad, this node may be the cause: use all.
     if (usable.size() * 2 < left.size())
     {
         usable.resize(left.size());
@@ -385,7 +381,7 @@
     const std::lock_guard lock(m_mutex);
     auto& of = record_of(owner, now);
     take_word(of, word, now);
-    // It has room again, whatever it refused before.
+    // It has free slots again, whatever it refused before.
     if (word.load && *word.load < 1)
         of.refusals = 0;
     of.round_trip_ms = seconds(round_trip) * 1000;
