--- a/src/targets/target_register.cpp
+++ b/src/targets/target_register.cpp
@@ -9,7 +9,7 @@
 {
 constexpr std::array<std::string_view, 5> verdict_names{
     "unchanged", "opened", "changed", "closed", "stale"};
-// Targets report each second or two; three that are missing are no delay.
+// Targets report every one or two seconds; a longer silence is no delay.
 constexpr std::chrono::seconds silent_after(5);
 } // namespace
 
@@ -38,7 +38,7 @@
 
 report_verdict target_register::take_leaving(const target_report& report)
 {
-    // A last word that does not tell which start it is of means the present.
+    // A departure that does not identify its start means the current one.
     const bool is_untold =
         report.born_ms == 0 && m_current && m_current->id == report.id;
     const auto start = is_untold ? m_current->start() : report.start();
@@ -53,8 +53,8 @@
 bool target_register::is_outdated(const target_report& report,
                                   time_point now) const
 {
-    // A clock that was set back may let a later start seem the earlier one:
-    // it takes over when the other has fallen silent.
+    // A clock that was set back can make a later start seem the earlier one: it
+    // takes over once the other has been silent.
     return m_current && m_current->id == report.id &&
            report.born_ms < m_current->born_ms && now < m_heard + silent_after;
 }
@@ -62,7 +62,7 @@
 report_verdict target_register::take(const target_report& report,
                                      time_point now)
 {
-    // Also a late word of leaving is true for ever.
+    // A departure is final, however late its report arrives.
     if (report.state != report_state::ready)
         return take_leaving(report);
     const auto start = report.start();
