--- a/tests/unit/body_grants.cpp
+++ b/tests/unit/body_grants.cpp
@@ -1,9 +1,8 @@
-/** @file Large bodies that come to hosts with slow links one after the other.
+/**
+ * @file Transfer slots for large bodies on slow links.
  *
- * The story: on days when uploads used nearly all of ten hosts' links, 15 in
- * 100 of another service's runs failed: the short calls that they made to the
- * same hosts timed out after 0.46 of their 0.5 s (2,924 of them in the lines of
- * one day's logs, beside 29 refused for want of room), behind bodies of 60 KB.
+ * Guards against short calls that time out behind large bodies which several
+ * entries send to the same host at once.
  */
 #include "tillerhall/routing/body_grants.hpp"
 #include "tillerhall/core/random.hpp"
@@ -26,24 +25,24 @@
 constexpr std::uint64_t body_bytes = 60'000;
 constexpr double lookup_bytes = 700;
 constexpr int played_ms = 60'000;
-// An entry that has chosen an owner sends after a round trip, when its own
-// link is free: some tens of milliseconds, and nobody sees the body till then.
+// Time between an entry's choice of an owner and the arrival of the body. No
+// other entry sees the body until then.
 constexpr int least_unseen_ms = 5;
 constexpr int most_unseen_ms = 70;
 constexpr int way_ms = 160;
 // An eighth of the body's objective of 800 ms.
 constexpr int patience_ms = 100;
 
-/** What callers got. */
+/** Counts of bodies and short calls. */
 struct outcome
 {
     unsigned bodies = 0;
     unsigned bodies_sent = 0;
     unsigned lookups = 0;
-    unsigned lookups_late = 0; ///< waited for most of their 150 ms
+    unsigned lookups_late = 0; ///< waited longer than 100 of their 150 ms
 };
 
-/** Bodies and short calls to hosts whose links carry what comes in turn. */
+/** Simulates bodies and short calls to hosts whose links are FIFO queues. */
 class played_links
 {
 public:
@@ -62,7 +61,7 @@
             for (auto [from, to] = m_on_way.equal_range(m_now); from != to;
                  ++from)
                 arrives(from->second, body_bytes);
-            // Claims again may wait again, so the list changes under them.
+            // A claim may be refused again and then changes the list.
             while (!m_waiting.empty() && m_waiting.begin()->first <= m_now)
                 claim(m_waiting.extract(m_waiting.begin()).mapped());
             if (comes(bodies_per_s))
@@ -98,7 +97,7 @@
     void send_body()
     {
         ++m_seen.bodies;
-        // Three owners are asked, the one with the least before it is taken.
+        // Three owners are asked; the one with the shortest backlog is chosen.
         std::array<std::size_t, 3> asked{};
         for (auto& each : asked)
             each = m_random.below(hosts);
@@ -109,7 +108,7 @@
         claim({asked, m_now + patience_ms});
     }
 
-    /** A body that its entry holds until a turn comes free. */
+    /** A body that waits at its entry for a transfer slot. */
     struct waiting_body
     {
         std::array<std::size_t, 3> owners;
@@ -165,9 +164,10 @@
 
 } // namespace
 
-TEST_CASE("turns keep links open for short calls while bodies fill them")
+TEST_CASE("transfer slots keep short calls fast while bodies fill the links")
 {
-    // 140 bodies a second are 0.96 of ten links, with 917 lookups 1.03.
+    // 140 bodies a second are 0.96 of ten links' capacity, with 917 lookups
+    // 1.03.
     constexpr double bodies_per_s = 140;
     constexpr double lookups_per_s = 917;
     for (std::uint64_t seed = 1; seed <= 5; ++seed)
@@ -181,16 +181,16 @@
              << share(now.lookups_late, now.lookups) << "; bodies sent before "
              << share(before.bodies_sent, before.bodies) << ", now "
              << share(now.bodies_sent, now.bodies));
-        // A run that makes one lookup in time fails for it in a hundred.
+        // A run fails if its one lookup is late: at most one in a hundred.
         CHECK(share(now.lookups_late, now.lookups) < 0.01);
         CHECK(share(now.lookups_late, now.lookups) <
               share(before.lookups_late, before.lookups) / 10);
-        // Links are not left idle for it.
+        // Links are not idle.
         CHECK(share(now.bodies_sent, now.bodies) > 0.7);
     }
 }
 
-TEST_CASE("a link that is free or not known grants every body at once")
+TEST_CASE("a fast link or one of unknown rate grants every claim at once")
 {
     body_grants unknown(0);
     body_grants fast(1000);
@@ -202,7 +202,7 @@
     }
 }
 
-TEST_CASE("who claims too early is told when the link is nearly free")
+TEST_CASE("a refused claim gets the time until the link is nearly free")
 {
     body_grants link(7);
     const time_point start{std::chrono::hours(1)};
