--- a/tests/unit/call_routes.cpp
+++ b/tests/unit/call_routes.cpp
@@ -31,7 +31,7 @@
     return *made;
 }
 
-/** What `find` must give, written without any index. */
+/** The expected result of `find`, by a linear search. */
 const call_route* plain_find(const call_routes& routes,
                              const std::string& host,
                              const std::string& path)
@@ -60,7 +60,7 @@
 
 TEST_CASE("the route with the longest prefix of host and path is found")
 {
-    rc::prop("as a plain search finds it",
+    rc::prop("matches a linear search",
              []
              {
                  std::map<std::string, call_route> made;
@@ -83,7 +83,8 @@
              });
 }
 
-TEST_CASE("port, case and query do not matter, other hosts and paths do")
+TEST_CASE(
+    "port, case and query are ignored; other hosts and paths do not match")
 {
     const auto routes = built({route_to("a", "Shop.Example", "/x/")});
     CHECK(routes->find("shop.example:8080", "/x/y?to=/z/") != nullptr);
@@ -94,7 +95,7 @@
     CHECK(routes->find("", "") == nullptr);
 }
 
-TEST_CASE("a version with one bad route is refused whole")
+TEST_CASE("one invalid route makes the whole version invalid")
 {
     struct bad_route
     {
@@ -126,9 +127,9 @@
     }
 }
 
-TEST_CASE("shares keep their weights over short spans")
+TEST_CASE("weights are kept over short spans")
 {
-    rc::prop("any 100 calls in a row stray by less than 4",
+    rc::prop("100 consecutive calls deviate by less than 4",
              []
              {
                  call_route route = route_to("r", "h", "/");
@@ -145,7 +146,7 @@
              });
 }
 
-TEST_CASE("a share without weight gets no call")
+TEST_CASE("a share of weight 0 gets no call")
 {
     auto route = route_to("r", "h", "/");
     route.shares = {{"a", 0}, {"b", 3}};
@@ -154,7 +155,7 @@
         CHECK(shares.next(route) == "b");
 }
 
-TEST_CASE("short calls are told by the objectives in use")
+TEST_CASE("short calls are recognized by the objectives in use")
 {
     objectives_in_use seen;
     CHECK(seen.longest() == milliseconds(0));
@@ -165,14 +166,14 @@
     CHECK_FALSE(seen.is_short(milliseconds(150)));
 }
 
-TEST_CASE("a route that hardly any call takes does not make the others short")
+TEST_CASE("the objective of a route with hardly any calls does not count")
 {
     objectives_in_use seen;
     for (int i = 0; i < 5'000; ++i)
         seen.saw(milliseconds(i % 100 == 0 ? 1'000 : 250));
     CHECK(seen.longest() == milliseconds(250));
     CHECK_FALSE(seen.is_short(milliseconds(250)));
-    // Once calls take it, it counts, and those before fade.
+    // With more calls it counts, and older calls lose weight.
     for (int i = 0; i < 5'000; ++i)
         seen.saw(milliseconds(1'000));
     CHECK(seen.is_short(milliseconds(250)));
