--- a/tests/unit/claims.cpp
+++ b/tests/unit/claims.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-/** A table service's items, with its compare and its revisions. */
+/** A table service's items, with conditional writes and revisions. */
 struct item_store
 {
     std::map<std::string, table_item> items;
@@ -40,7 +40,7 @@
 
 } // namespace
 
-TEST_CASE("two keepers of one shard never both get a key")
+TEST_CASE("two writers of one shard never both claim a key")
 {
     rc::prop(
         "claims",
@@ -97,7 +97,7 @@
     CHECK_FALSE(read.load({{"claims/00/01", "nonsense", 1}}));
 }
 
-TEST_CASE("a released claim is free, a changed one stays in its minute")
+TEST_CASE("a released key is free; a changed claim stays in its minute")
 {
     claim_shard shard(0);
     shard.put({"k", "b", 1, claim_state::running}, 10);
