--- a/tests/unit/client_accounts.cpp
+++ b/tests/unit/client_accounts.cpp
@@ -1,8 +1,9 @@
-/** @file Who holds which key, and what a call without one may do.
+/**
+ * @file Client keys and accounts, and calls without a key.
  *
- * The story: keys were passed on to targets and none was ever asked for, so
- * 6,698 to 19,328 calls of a day ran with the client's key and for no account,
- * and calls with keys that no version ever held ran as well. */
+ * Guards against calls that run without a valid key although the version
+ * requires one.
+ */
 #include "tillerhall/proxy/caller_check.hpp"
 
 #include <boost/beast/http.hpp>
@@ -59,7 +60,7 @@
 
 } // namespace
 
-TEST_CASE("a key tells its account, and no other text does")
+TEST_CASE("an account is found by its keys only")
 {
     const auto accounts = client_accounts::build(
         {entry_of("bakkerij", {"k1", "k2"}), entry_of("molen", {"k3"})});
@@ -71,7 +72,8 @@
         CHECK((*accounts)->holder_of(each) == nullptr);
 }
 
-TEST_CASE("odd accounts refuse the whole version, and the fault is named")
+TEST_CASE(
+    "an invalid account makes the whole version invalid; the error names why")
 {
     struct odd_accounts
     {
@@ -93,7 +95,7 @@
     }
 }
 
-TEST_CASE("who may call, by key, route and what runs here")
+TEST_CASE("the caller's standing follows from key, route and known runs")
 {
     using standing = caller_standing;
     const auto routes =
@@ -120,7 +122,7 @@
         {"/closed/x", {"Bearer k1", "Bearer k1"}, {}, standing::not_known},
         {"/closed/x", {std::string(16'000, 'x')}, {}, standing::not_known},
         {"/closed/x", {}, {true, true}, standing::target},
-        // Only a run that is known here is proof; its form alone is not.
+        // Only a run that is known at this node is proof.
         {"/closed/x", {}, {false, true}, standing::unproved},
         {"/closed/x", {"Bearer k9"}, {true, true}, standing::not_known}};
     for (const auto& each : table)
@@ -136,7 +138,7 @@
     }
 }
 
-TEST_CASE("a version without accounts asks for no key")
+TEST_CASE("a version without accounts requires no key")
 {
     const auto routes = routes_with(nullptr);
     CHECK(identify(*routes, "/closed/x", {}).may_call());
