--- a/tests/unit/cold_gate.cpp
+++ b/tests/unit/cold_gate.cpp
@@ -1,8 +1,9 @@
-/** @file What a cold target gets in any second.
+/**
+ * @file Rate limit for cold targets.
  *
- * The story: a failure domain's targets came back cold, each bearing 14 calls a
- * second, and got up to 183 in one: nothing here knew how much a cold target
- * bears, and 13 times one fell over. */
+ * Guards against targets that crash again right after their start because they
+ * get more calls than a cold target can serve.
+ */
 #include "tillerhall/routing/cold_gate.hpp"
 #include "tillerhall/core/random.hpp"
 
@@ -16,7 +17,7 @@
 
 const time_point begun{std::chrono::hours(1)};
 
-/** Most of @p sent within any second. */
+/** @return the largest number of @p sent within a second. */
 std::size_t most_in_a_second(const std::vector<time_point>& sent)
 {
     std::size_t most = 0;
@@ -31,9 +32,9 @@
 
 } // namespace
 
-TEST_CASE("a cold target gets no more than it bears in any second")
+TEST_CASE("a cold target never gets more calls a second than its limit")
 {
-    rc::prop("whatever comes, and whenever",
+    rc::prop("for any arrival times",
              []
              {
                  const double per_s = *rc::gen::inRange(1, 40);
@@ -54,7 +55,7 @@
              });
 }
 
-TEST_CASE("what went to it while it was warm counts when it gets cold")
+TEST_CASE("calls to a warm target count when it becomes cold")
 {
     cold_gate gate(begun);
     const auto now = begun + std::chrono::seconds(5);
@@ -65,7 +66,7 @@
     CHECK(gate.has_room(14, now + milliseconds(1'200)));
 }
 
-TEST_CASE("a process that has just started does not give the second anew")
+TEST_CASE("a new process sends nothing to a cold target in its first second")
 {
     cold_gate gate(begun);
     CHECK_FALSE(gate.has_room(14, begun + milliseconds(10)));
@@ -73,7 +74,7 @@
     CHECK(gate.has_room(14, begun + milliseconds(1'000)));
 }
 
-TEST_CASE("who is refused is told when there is room")
+TEST_CASE("a refused call gets the time until the limit allows it")
 {
     cold_gate gate(begun);
     const auto now = begun + std::chrono::seconds(2);
