--- a/tests/unit/domain_drains.cpp
+++ b/tests/unit/domain_drains.cpp
@@ -1,4 +1,4 @@
-/** @file Failure domains whose targets get nothing, in the view of entries. */
+/** @file Drained failure domains, in the view of entries. */
 #include "tillerhall/control/routes_word.hpp"
 #include "tillerhall/routing/service_targets.hpp"
 
@@ -35,14 +35,14 @@
     CHECK(view.live_members() == 3);
 }
 
-TEST_CASE("the last domain is drained as well when it is ordered")
+TEST_CASE("the last domain of a service can be drained, too")
 {
     member_list members(member_at(1, "a"));
     const service_targets view(members, {}, domain_drains({"a"}, 1));
     CHECK(view.of("perceel").empty());
 }
 
-TEST_CASE("a reader's word tells the drained domains")
+TEST_CASE("a routes update contains the drained domains")
 {
     routes_word word;
     word.reader = "127.0.0.1:1";
