--- a/tests/unit/first_calls.cpp
+++ b/tests/unit/first_calls.cpp
@@ -1,9 +1,9 @@
-/** @file What callers get of a target that has just started.
+/**
+ * @file Calls to a target that has just started.
  *
- * The story: a day on which all hosts lose power earned 0.28 of its worth in
- * the 2 s after they were back: of 3,237 calls 584 were answered in time, 1,428
- * late. Owners knew no run times yet and took each run for nothing, so that all
- * that came was let in to wait. */
+ * Guards against owners that, without known run times, take each run for zero
+ * and admit more calls than the target can serve in time.
+ */
 #include "tillerhall/core/random.hpp"
 #include "tillerhall/routing/admission.hpp"
 #include "tillerhall/routing/run_estimates.hpp"
@@ -20,7 +20,7 @@
 const work_class work{2, milliseconds(600), call_kind::repeatable};
 constexpr int cold_run_ms = 320;
 
-/** What the calls of the first two seconds came to. */
+/** Results of the calls. */
 struct outcome
 {
     unsigned calls = 0;
@@ -28,7 +28,7 @@
     unsigned late = 0;
 };
 
-/** A target with places and a queue, and calls at random moments. */
+/** Simulates a target with slots and a queue, and calls at random times. */
 class played_start
 {
 public:
@@ -141,10 +141,10 @@
 
 } // namespace
 
-TEST_CASE("a target that has just started lets in what it can serve in time")
+TEST_CASE("a target that has just started admits what it can serve in time")
 {
-    // 9 places with runs of 0.32 s serve 28 calls a second; four times as many
-    // come while clients return.
+    // 9 slots with runs of 0.32 s serve 28 calls a second; four times as many
+    // arrive.
     constexpr double per_s = 112;
     constexpr int span_ms = 2'000;
     outcome before;
@@ -162,13 +162,13 @@
     INFO("in time before " << before.in_time << ", now " << now.in_time
                            << "; late before " << before.late << ", now "
                            << now.late);
-    // Nine in ten of what the places can carry, where before a fifth was late.
+    // In time are nine tenths of what the slots can serve.
     const double carried = 40.0 * slots * span_ms / cold_run_ms;
     CHECK(now.in_time > 0.9 * carried);
     CHECK(now.late < now.in_time / 10);
 }
 
-TEST_CASE("an expected run is of its class, else the mean, else a guess")
+TEST_CASE("expected run time: mean of the class, else of all, else a default")
 {
     run_estimates estimates;
     CHECK(estimates.expected(work, duration::zero()) == milliseconds(150));
