--- a/tests/unit/fleet_budget.cpp
+++ b/tests/unit/fleet_budget.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-/** Calls and second sends of the whole fleet, one entry a time slot. */
+/** Calls and retries of the whole fleet in one time slot. */
 struct fleet_slot
 {
     double calls = 0;
@@ -19,9 +19,9 @@
 
 } // namespace
 
-TEST_CASE("the fleet's second sends keep the bound in every window")
+TEST_CASE("the fleet's retries stay within the limit in every window")
 {
-    rc::prop("with nodes that know only some of the others, and restarts",
+    rc::prop("with incomplete member lists and restarts",
              []
              {
                  const auto nodes =
@@ -66,7 +66,7 @@
              });
 }
 
-TEST_CASE("a budget begins empty and gains with calls")
+TEST_CASE("a budget starts empty and grows with calls")
 {
     fleet_budget budget;
     CHECK_FALSE(budget.take());
@@ -76,7 +76,7 @@
     CHECK_FALSE(budget.take());
 }
 
-TEST_CASE("a target whose runs fail sheds until few of them do")
+TEST_CASE("calls are shed while many runs fail, and no longer")
 {
     failure_shedder shedder;
     auto now = time_point(std::chrono::hours(1));
@@ -94,8 +94,8 @@
     CHECK_FALSE(shedder.sheds(0, now));
 }
 
-TEST_CASE("shedding ends two seconds after the last failure, also where few "
-          "runs come")
+TEST_CASE(
+    "shedding ends two seconds after the last failure, even with few runs")
 {
     failure_shedder shedder;
     auto now = time_point(std::chrono::hours(1));
@@ -103,7 +103,7 @@
     for (int i = 0; i < 40; ++i)
         shedder.ran(true, now);
     REQUIRE(shedder.sheds(0, now));
-    // Three good runs a second: a step a run would take minutes.
+    // Three successful runs a second.
     for (int i = 0; i < 6; ++i)
     {
         now += milliseconds(350);
@@ -121,7 +121,7 @@
     CHECK_FALSE(shedder.sheds(0, now));
 }
 
-TEST_CASE("runs that fail for other reasons than want of room shed nothing")
+TEST_CASE("runs that fail for other reasons than lack of capacity shed nothing")
 {
     failure_shedder shedder;
     const auto now = time_point(std::chrono::hours(1));
@@ -133,6 +133,7 @@
     CHECK_FALSE(shedder.sheds(0, now));
     for (int i = 0; i < 100; ++i)
         shedder.call_failed(true, now);
-    CHECK(shedder.share(now) > 0.4); // half of the failures found no room
+    CHECK(shedder.share(now) >
+          0.4); // half of the failures are due to a lack of capacity
     CHECK(shedder.share(now) < 0.5);
 }
