--- a/tests/unit/link_schedule.cpp
+++ b/tests/unit/link_schedule.cpp
@@ -1,4 +1,4 @@
-/** @file Which large answers go out on a slow link, and which are refused. */
+/** @file Order of large answers on a slow link, and their refusal. */
 #include "tillerhall/routing/link_schedule.hpp"
 #include "tillerhall/core/random.hpp"
 #include "tillerhall/routing/answer_backlog.hpp"
@@ -19,7 +19,7 @@
 constexpr double mbps = 15;
 constexpr std::uint64_t answer = 90'000;
 
-/** Bodies that wait and the order in which they were let go. */
+/** Waiting bodies and the order in which they were sent. */
 struct played_link
 {
     void enqueue(int name, std::uint64_t bytes, time_point due, time_point now)
@@ -52,7 +52,7 @@
     CHECK(unknown.backlog(now) == duration::zero());
 }
 
-TEST_CASE("a link is clear again when it has carried what it was given")
+TEST_CASE("a link is free once it has carried the bytes sent")
 {
     const time_point now{};
     link_schedule link(mbps);
@@ -64,7 +64,7 @@
     CHECK(link.backlog(later) == duration::zero());
 }
 
-TEST_CASE("what is due first goes first, what is late already goes last")
+TEST_CASE("bodies go in order of their due times, late ones last")
 {
     played_link link;
     const auto now = time_point{} + std::chrono::hours(1);
@@ -79,7 +79,8 @@
     CHECK(link.order == std::vector{3, 4, 1, 2});
 }
 
-TEST_CASE("a late body goes out within two seconds, however many come in time")
+TEST_CASE(
+    "a late body is sent within two seconds, however many others are in time")
 {
     played_link link;
     const auto begin = time_point{} + std::chrono::hours(1);
@@ -97,7 +98,7 @@
     CHECK(is_out);
 }
 
-TEST_CASE("a body that gave up waiting is not let go")
+TEST_CASE("a body is not sent before the link has carried those ahead of it")
 {
     played_link link;
     const auto now = time_point{} + std::chrono::hours(1);
@@ -110,8 +111,8 @@
 }
 
 TEST_CASE(
-    "ten answers that are ready at once: the mean one arrives in half the "
-    "time, and short messages wait for no more than one of them")
+    "of ten answers ready at once the mean one arrives sooner than together, "
+    "and short messages wait for at most one of them")
 {
     played_link link;
     const auto now = time_point{} + std::chrono::hours(1);
@@ -125,7 +126,7 @@
          at += milliseconds(1))
     {
         link.schedule.grant(at);
-        // What a short message finds before it: never two whole answers.
+        // Bytes ahead of a short message: never two complete answers.
         const auto waiting =
             link.schedule.time_of((9 - link.order.size()) * answer);
         CHECK(link.schedule.backlog(at) - waiting <=
@@ -135,7 +136,7 @@
         seen = link.order.size();
     }
     CHECK(seen == 9);
-    CHECK(sum / 10 < 10 * each * 2 / 3); // together all take 10 x each
+    CHECK(sum / 10 < 10 * each * 2 / 3); // sent together, each takes 10 x each
 }
 
 namespace
@@ -147,7 +148,7 @@
 
 struct download
 {
-    time_point first{}; ///< its client's first try
+    time_point first{}; ///< the client's first attempt
     int tries = 0;
     link_waiter waiter;
 };
@@ -163,7 +164,9 @@
     }
 };
 
-/** Clients that come @p per_s times a second for 20 s, and come back twice. */
+/**
+ * Simulates clients that call @p per_s times a second for 20 s and retry twice.
+ */
 outcome play_downloads(double per_s, bool refuses)
 {
     random_source random(7);
@@ -236,9 +239,9 @@
 
 } // namespace
 
-TEST_CASE("of more downloads than a link carries most that run are in time")
+TEST_CASE("under overload of a link most downloads that run are in time")
 {
-    // 18.75 answers of 90 KB a second fill nine tenths of 15 Mbit/s.
+    // 18.75 answers of 90 KB a second use nine tenths of 15 Mbit/s.
     const auto refusing = play_downloads(28, true);
     const auto taking_all = play_downloads(28, false);
     CAPTURE(refusing.in_time, refusing.late, refusing.refused);
@@ -247,7 +250,7 @@
     CHECK(refusing.worth() > 1.2 * taking_all.worth());
 }
 
-TEST_CASE("downloads that a link carries easily are all taken and in time")
+TEST_CASE("without overload of a link no download is refused")
 {
     const auto seen = play_downloads(10, true);
     CHECK(seen.refused == 0);
