--- a/tests/unit/load_inquiry.cpp
+++ b/tests/unit/load_inquiry.cpp
@@ -1,4 +1,4 @@
-/** @file Which owners are asked for their load, and what asking gains. */
+/** @file Selection of owners to ask for their load, and its effect. */
 #include "tillerhall/routing/load_inquiry.hpp"
 #include "tillerhall/routing/target_board.hpp"
 
@@ -27,7 +27,7 @@
 
 } // namespace
 
-TEST_CASE("the favourite, an owner of the own domain and one of another are "
+TEST_CASE("the preferred owner, one of the own domain and one of another are "
           "asked")
 {
     load_inquiry inquiry;
@@ -43,14 +43,14 @@
     }
 }
 
-TEST_CASE("a domain with few owners leaves its questions to the others")
+TEST_CASE("without owners in the own domain more of other domains are asked")
 {
     load_inquiry inquiry;
     random_source random(1);
     CHECK(inquiry.whom_to_ask(owners(0, 20), 0, start, random).size() == 3);
 }
 
-TEST_CASE("nobody is asked in a small service or where enough is known")
+TEST_CASE("no owner is asked in a small service or if enough is known")
 {
     load_inquiry inquiry;
     random_source random(1);
@@ -66,7 +66,7 @@
     CHECK_FALSE(inquiry.whom_to_ask(all, 0, start, random).empty());
 }
 
-TEST_CASE("who is known to be full or did not answer is not asked")
+TEST_CASE("owners with a recent report or without an answer are not asked")
 {
     load_inquiry inquiry;
     random_source random(1);
@@ -79,7 +79,7 @@
           std::vector<std::size_t>{4});
 }
 
-TEST_CASE("where most owners are full few calls ask one, and all again later")
+TEST_CASE("while most owners are full only some calls ask, and only one owner")
 {
     load_inquiry inquiry;
     random_source random(1);
@@ -99,7 +99,7 @@
               .size() == 3);
 }
 
-TEST_CASE("the questions of a node stay below their rate")
+TEST_CASE("load queries of a node are rate-limited")
 {
     load_inquiry inquiry;
     random_source random(1);
@@ -127,7 +127,7 @@
     double run_ms = 0; ///< mean
 };
 
-/** What became of the calls of a played service. */
+/** Results of the calls of a simulated service. */
 struct played_calls
 {
     double refused = 0; ///< share whose first owner was full
@@ -146,8 +146,8 @@
 };
 
 /**
- * Entries that call a service of 40 targets with 8 places each and mean runs of
- * 258 to 602 ms, at @p load of what these can run.
+ * Simulates entries that call a service of 40 targets with 8 slots each and
+ * mean run times of 258 to 602 ms, at @p load of their capacity.
  */
 played_calls play_service(bool asks, double load)
 {
@@ -227,7 +227,7 @@
                 ? remembered
                 : entry.board.choose_among(informed, {}, from, now);
         auto& chosen = state[owner->rpc];
-        const bool counts = ms > 3'000; // by then all have seen something
+        const bool counts = ms > 3'000; // ignores the warm-up
         calls += counts ? 1 : 0;
         entry.board.started(owner->rpc);
         if (chosen.running >= places)
@@ -250,7 +250,7 @@
 
 } // namespace
 
-TEST_CASE("entries that ask find room where those that remember do not")
+TEST_CASE("with load queries fewer calls meet a full owner")
 {
     const auto asking = play_service(true, 0.85);
     const auto remembering = play_service(false, 0.85);
@@ -259,7 +259,7 @@
     CHECK(asking.refused < remembering.refused / 2);
 }
 
-TEST_CASE("on a quiet day entries that ask still choose the fast targets")
+TEST_CASE("at low load entries with load queries still choose the fast targets")
 {
     const auto asking = play_service(true, 0.3);
     const auto remembering = play_service(false, 0.3);
