--- a/tests/unit/refusal_memory.cpp
+++ b/tests/unit/refusal_memory.cpp
@@ -1,10 +1,8 @@
 /**
- * @file What entries ask of full owners, with and without a memory of refusals.
+ * @file Load on full owners with and without a cache of refusals.
  *
- * Users saw two thirds of the reads refused or failed while twice the traffic
- * met slow targets, and calls of all services unanswered: each try asked three
- * owners that were full, clients came back at once, and telling refusals took
- * the processor time of all hosts. The first case plays that load.
+ * Guards against a retry storm in which refusals use up the processor time of
+ * all hosts.
  */
 #include "tillerhall/routing/refusal_memory.hpp"
 #include "tillerhall/core/random.hpp"
@@ -29,14 +27,14 @@
     return {"10.0.0.1", static_cast<std::uint16_t>(i + 1)};
 }
 
-/** What the owners were asked, and what ran. */
+/** Calls asked for, and calls that ran. */
 struct load_counts
 {
     int asked = 0;
     int ran = 0;
 };
 
-/** Five owners whose targets have 13 places and runs of half a second. */
+/** Five owners whose targets have 13 slots and runs of half a second. */
 class slow_service
 {
 public:
@@ -82,11 +80,11 @@
     load_counts counts;
 
 private:
-    std::deque<admission> m_owners; // they do not move
+    std::deque<admission> m_owners; // stable addresses
     std::array<std::deque<time_point>, size> m_ends;
 };
 
-/** An entry that asks three owners at most for each try. */
+/** An entry that asks at most three owners for each attempt. */
 struct entry
 {
     bool lead(slow_service& service,
@@ -125,7 +123,9 @@
     refusal_memory memory;
 };
 
-/** Plays four seconds of 1,500 calls a second that come back four times. */
+/**
+ * Simulates four seconds of 1,500 calls a second, each with up to four retries.
+ */
 load_counts play(bool remembers)
 {
     constexpr int entries = 13;
@@ -133,7 +133,7 @@
     slow_service service;
     std::vector<entry> nodes(entries);
     random_source random(7);
-    std::deque<int> tries; // made before, of calls that come now
+    std::deque<int> tries; // earlier attempts of the calls that arrive now
     int calls = 0;
     for (int ms = 0; ms < 4'000; ++ms)
     {
@@ -156,7 +156,8 @@
 
 } // namespace
 
-TEST_CASE("in a storm of refusals as many calls run and far fewer are asked")
+TEST_CASE(
+    "in a retry storm owners are asked far less often and as many calls run")
 {
     const auto without = play(false);
     const auto with = play(true);
@@ -166,7 +167,8 @@
     CHECK(with.ran > without.ran * 95 / 100);
 }
 
-TEST_CASE("a refusal holds for its owner and sort of work, and not for long")
+TEST_CASE(
+    "a refusal is cached by owner and class of work, and for a short time")
 {
     refusal_memory memory;
     memory.refused(owner_at(0), reads, std::chrono::seconds(1), 0.99, start);
@@ -177,14 +179,14 @@
         memory.refusing(reads, start + refusal_memory::longest_pause).empty());
 }
 
-TEST_CASE("an owner that has room again in a moment is asked again by then")
+TEST_CASE("a pause is no longer than the owner's Retry-After")
 {
     refusal_memory memory;
     memory.refused(owner_at(0), reads, milliseconds(4), 0.99, start);
     CHECK(memory.refusing(reads, start + milliseconds(4)).empty());
 }
 
-TEST_CASE("after a pause an owner is asked once a pause until it has room")
+TEST_CASE("after a pause an owner is asked once a pause until it admits a call")
 {
     refusal_memory memory;
     memory.refused(owner_at(0), reads, milliseconds(100), 0, start);
@@ -198,7 +200,7 @@
     CHECK(memory.refusing(reads, after + milliseconds(61)).empty());
 }
 
-TEST_CASE("pauses of entries refused together do not end together")
+TEST_CASE("pauses of entries that were refused together end at different times")
 {
     refusal_memory memory;
     memory.refused(owner_at(0), reads, milliseconds(40), 0, start);
@@ -207,7 +209,7 @@
           std::vector{owner_at(1)});
 }
 
-TEST_CASE("callers come back when the first of the owners told to")
+TEST_CASE("callers get the shortest Retry-After of the owners")
 {
     refusal_memory memory;
     CHECK(memory.retry_after(reads, start) == duration::zero());
