--- a/tests/unit/load_inquiry.cpp
+++ b/tests/unit/load_inquiry.cpp
@@ -131,7 +131,7 @@
 struct played_calls
 {
     double refused = 0; ///< share whose first owner was full
-    double run_ms = 0;  ///< mean run of the others
+    double run_ms = 0;  ///< mean run time of the others
 };
 
 struct played_entry
