--- a/src/routing/call_routes.cpp
+++ b/src/routing/call_routes.cpp
@@ -28,24 +28,24 @@
         return "has no host";
     if (route.path_prefix.empty() || route.path_prefix.front() != '/' ||
         route.path_prefix.back() != '/')
-        return "has a prefix that does not begin and end with a slash";
+        return "has a path prefix that does not begin and end with a slash";
     if (route.timeout <= milliseconds::zero())
         return "has no timeout";
     if (route.most_targets == 0)
-        return "allows no target";
+        return "allows no target for a call";
     if (route.shares.empty())
         return "names no service";
     const bool has_weight =
         std::ranges::any_of(route.shares, [](const service_share& each)
                             { return each.weight > 0; });
-    return has_weight ? "" : "gives no service any weight";
+    return has_weight ? "" : "gives no service a weight above 0";
 }
 
 error refusal(const call_route& route, const std::string& fault)
 {
     return error(error_code::invalid_argument,
                  "route \"" + route.name + "\" " + fault,
-                 "correct the route; the version before stays in force");
+                 "correct the route; the previous version remains in force");
 }
 
 } // namespace
