--- a/src/routing/client_accounts.cpp
+++ b/src/routing/client_accounts.cpp
@@ -36,7 +36,7 @@
 {
     return error(error_code::invalid_argument,
                  "account \"" + account.name + "\" " + fault,
-                 "correct the account; the version before stays in force");
+                 "correct the account; the previous version remains in force");
 }
 
 std::string fault_of(const client_account& account)
@@ -46,7 +46,7 @@
     // The name is sent to targets in a header field.
     if (std::ranges::any_of(account.name, [](unsigned char each)
                             { return std::iscntrl(each) != 0; }))
-        return "has a name that is no line of text";
+        return "has a control character in its name";
     if (account.quota.per_s < 0 || account.quota.burst < 0)
         return "has a negative quota";
     return {};
