--- a/tests/unit/client_accounts.cpp
+++ b/tests/unit/client_accounts.cpp
@@ -86,7 +86,7 @@
         {"another account", {entry_of("a", {"k"}), entry_of("b", {"k"})}},
         {"empty key", {entry_of("a", {""})}},
         {"negative", {entry_of("a", {"k"}, -1)}},
-        {"line of text", {entry_of("a\r\nX: y", {"k"})}}};
+        {"control character", {entry_of("a\r\nX: y", {"k"})}}};
     for (const auto& each : table)
     {
         const auto built = client_accounts::build(each.entries);
