--- a/tests/unit/limits.cpp
+++ b/tests/unit/limits.cpp
@@ -13,7 +13,7 @@
 using namespace tillerhall;
 using std::chrono::seconds;
 
-TEST_CASE("a token bucket never gives more than its rate and burst")
+TEST_CASE("a token bucket never exceeds its rate and burst")
 {
     rc::prop("bounded",
              [](const std::vector<unsigned char>& gaps_ms)
@@ -32,7 +32,7 @@
              });
 }
 
-TEST_CASE("backoff stays between its least and most wait")
+TEST_CASE("backoff stays between its limits")
 {
     random_source random(1);
     backoff waits(milliseconds(10), milliseconds(200));
@@ -44,7 +44,7 @@
     }
 }
 
-TEST_CASE("a circuit breaker opens after failures in a row and closes again")
+TEST_CASE("a circuit breaker opens after consecutive failures and closes again")
 {
     random_source random(1);
     circuit_breaker breaker;
@@ -59,7 +59,7 @@
     CHECK(breaker.allows(start));
 }
 
-TEST_CASE("the freshest known read of the source counts")
+TEST_CASE("the age of the source data is that of the newest known read")
 {
     source_freshness freshness;
     const auto now = steady_clock::now();
@@ -134,20 +134,20 @@
         RC_ASSERT(places.in_flight() == running);
         RC_ASSERT(running <= slots);
         RC_ASSERT(places.waiting() <= queue);
-        // No slot stays free while a call waits.
+        // No slot is free while a call waits.
         RC_ASSERT(running == slots || places.waiting() == 0);
     }
 }
 
 } // namespace
 
-TEST_CASE("slots and queue are never exceeded and no slot idles")
+TEST_CASE("slots and queue are never exceeded and no slot is idle")
 {
     rc::prop("admission", [](const std::vector<std::pair<bool, int>>& steps)
              { drive(steps, 2, 3); });
 }
 
-TEST_CASE("callers' services share a full target in turn")
+TEST_CASE("calling services get the slots of a full target in turn")
 {
     admission places({1, 100, seconds(10), 0});
     const auto now = steady_clock::now();
@@ -172,7 +172,7 @@
     waiting.clear();
 }
 
-TEST_CASE("a call that cannot finish in time is refused, not run in vain")
+TEST_CASE("a call that cannot finish before its deadline is refused")
 {
     admission places({1, 10, seconds(1), 0});
     const auto now = steady_clock::now();
@@ -187,7 +187,7 @@
           admission_verdict::run);
 }
 
-TEST_CASE("new limits cut nothing that runs")
+TEST_CASE("new limits do not affect running calls")
 {
     admission places({4, 0, seconds(1), 0});
     const auto now = steady_clock::now();
@@ -205,7 +205,7 @@
           admission_verdict::run);
 }
 
-TEST_CASE("a rate above the limit is refused")
+TEST_CASE("calls above the rate limit are refused")
 {
     admission places({100, 0, seconds(1), 10});
     const auto now = steady_clock::now();
@@ -221,7 +221,7 @@
 namespace
 {
 
-/** Fills the one slot and queues calls of given ranks and due times. */
+/** Fills the only slot and queues calls with given ranks and due times. */
 struct queue_under_test
 {
     admission places{{1, 64, seconds(60), 0}};
@@ -241,7 +241,10 @@
         return waiter;
     }
 
-    /** Ends the run that is on; @return whether @p waiter runs then. */
+    /**
+     * Ends the current run.
+     * @return true if @p waiter runs next.
+     */
     bool next_is(const admission_waiter& waiter)
     {
         places.leave(now, milliseconds(1));
@@ -251,7 +254,8 @@
 
 } // namespace
 
-TEST_CASE("the most urgent rank goes first, and in it what is due first")
+TEST_CASE(
+    "the most urgent rank goes first, within a rank the earliest due time")
 {
     queue_under_test queue;
     const auto& low = queue.add(2, milliseconds(1));
@@ -262,7 +266,7 @@
     CHECK(queue.next_is(low));
 }
 
-TEST_CASE("a less urgent rank gets one place in five and does not starve")
+TEST_CASE("a less urgent rank gets one slot in five and does not starve")
 {
     queue_under_test queue;
     for (int i = 0; i < 100; ++i)
@@ -277,7 +281,7 @@
     CHECK(served == 10);
 }
 
-TEST_CASE("a call that would wait too long is refused when it comes")
+TEST_CASE("a call that would wait too long is refused on arrival")
 {
     queue_under_test queue;
     for (int i = 0; i < 200; ++i)
@@ -296,7 +300,7 @@
     queue.waiters.clear();
 }
 
-TEST_CASE("a call waits only for those that go before it, each its own run")
+TEST_CASE("the expected wait is the sum of the run times of the calls ahead")
 {
     queue_under_test queue;
     for (int i = 0; i < 200; ++i)
@@ -320,7 +324,7 @@
     CHECK(near(wait(2, milliseconds(1)), milliseconds(100 + 96)));
 }
 
-TEST_CASE("runs are known by class of work")
+TEST_CASE("run times are estimated by class of work")
 {
     run_estimates runs;
     const work_class lookup{1, milliseconds(60), call_kind::repeatable};
@@ -336,7 +340,7 @@
     CHECK(to_ms(runs.of(booking, {}) + milliseconds(1)) >= 82);
 }
 
-TEST_CASE("a call that comes back is told by what is left of its time")
+TEST_CASE("a retry is recognized by its remaining time")
 {
     usual_budgets budgets;
     const work_class reads{2, milliseconds(200), call_kind::repeatable};
@@ -344,11 +348,12 @@
     auto now = steady_clock::now();
     const auto elapsed = [&](const work_class& work, int left)
     { return to_ms(budgets.elapsed(work, milliseconds(left), now)); };
-    CHECK(elapsed(reads, 700) == 0); // nothing else is known yet
+    CHECK(elapsed(reads, 700) == 0); // the first call sets the budget
     CHECK(elapsed(reads, 1'200) == 0);
     CHECK(elapsed(reads, 700) == 500);
     CHECK(elapsed(others, 700) == 0);
-    // A shorter budget is noticed once the longer one has not come for long.
+    // A shorter budget is adopted once the longer one has not been seen for
+    // long.
     for (int i = 0; i < 50; ++i)
     {
         now += std::chrono::seconds(1);
