--- a/tests/unit/routing.cpp
+++ b/tests/unit/routing.cpp
@@ -67,7 +67,7 @@
              });
 }
 
-TEST_CASE("every policy obeys weights, avoids what was tried, and finds nobody")
+TEST_CASE("every policy obeys weights and chooses no target twice for a call")
 {
     for (const auto* policy : policies())
     {
@@ -94,7 +94,7 @@
     }
 }
 
-TEST_CASE("two choices turns from a slow and from a failing target")
+TEST_CASE("two_choices avoids a slow and a failing target")
 {
     target_board board(**find_policy("two_choices"), 5);
     const auto routes = make_routes(1, 0);
@@ -116,7 +116,7 @@
     for (int i = 0; i < 1000; ++i)
         to_slow += board.choose(routes, "s", {}, now)->owner->rpc == slow;
     CHECK(to_slow < 50);
-    // If all look bad, all are used.
+    // If all targets fail, all are used.
     for (std::uint16_t port = 1; port <= 5; port += 2)
         for (int i = 0; i < 50; ++i)
             board.ended({"127.0.0.1", port},
@@ -124,7 +124,7 @@
     CHECK(board.choose(routes, "s", {}, now));
 }
 
-TEST_CASE("with every other target full there is no room to try again")
+TEST_CASE("there is no room for a retry if every other target is full")
 {
     target_board board(**find_policy("two_choices"), 5);
     const auto routes = make_routes(1, 1);
@@ -144,7 +144,7 @@
     CHECK_FALSE(board.has_room(routes, "other", {}, now));
 }
 
-TEST_CASE("a target is compared by its runs of the same class of work")
+TEST_CASE("targets are compared by run times of the same class of work")
 {
     target_board board(**find_policy("least_time"), 5);
     const work_class lookup{1, milliseconds(60), call_kind::repeatable};
@@ -168,7 +168,7 @@
         board.ended(owner, {call_verdict::good, milliseconds(20), told, work},
                     now);
     };
-    // The first gets the lookups, yet its bookings take longer.
+    // The first target gets the short lookups, but its bookings take longer.
     for (int i = 0; i < 20; ++i)
         ran(1, lookup, 16);
     ran(1, booking, 150);
@@ -180,7 +180,8 @@
     }
 }
 
-TEST_CASE("large answers cross domains only where it pays")
+TEST_CASE(
+    "large answers cross failure domains only if the gain exceeds the cost")
 {
     target_board board(**find_policy("least_time"), 5);
     const work_class packs{2, milliseconds(250), call_kind::large_repeatable};
@@ -209,8 +210,8 @@
             {call_verdict::good, milliseconds(20), told, work, answer_bytes},
             now);
     };
-    // The near one takes longer; a small answer is worth the way, a large
-    // one is not.
+    // The near target takes longer: that is worth the distance for a small
+    // answer, but not for a large one.
     for (const auto& [work, bytes] : {std::pair{packs, std::size_t{90'000}},
                                       std::pair{reads, std::size_t{1'500}}})
     {
@@ -229,7 +230,7 @@
     }
 }
 
-TEST_CASE("ambiguous framing is found")
+TEST_CASE("ambiguous framing is detected")
 {
     request_head head;
     head.set(http::field::host, "perceel:80");
@@ -249,7 +250,7 @@
     CHECK_FALSE(framing_fault(head).empty());
 }
 
-TEST_CASE("fields of one connection and of the mesh do not pass")
+TEST_CASE("hop-by-hop fields and fields of the mesh are not forwarded")
 {
     request_head head;
     head.set(http::field::connection, "close, X-Private");
