--- a/tests/unit/suspect_calls.cpp
+++ b/tests/unit/suspect_calls.cpp
@@ -1,4 +1,4 @@
-/** @file Which calls are held since targets ended under them. */
+/** @file Quarantine of calls under which targets crashed. */
 #include "told_ends.hpp"
 
 #include "tillerhall/core/random.hpp"
@@ -11,7 +11,7 @@
 
 using namespace tillerhall;
 
-TEST_CASE("a call is held from the second end of a target under it on")
+TEST_CASE("a call is quarantined after the second crash of a target under it")
 {
     told_ends mesh(4);
     CHECK(mesh.view().empty());
@@ -25,7 +25,7 @@
     CHECK_FALSE(mesh.view().hold_of("another", {}, now_ms));
 }
 
-TEST_CASE("a call that ran well since is cleared of the ends before")
+TEST_CASE("a successful run clears a call of earlier crashes")
 {
     told_ends mesh(5);
     mesh.tell(2, end_of({"a"}));
@@ -33,14 +33,15 @@
     mesh.tell(4, good_run{"a", now_ms + 40});
     CHECK_FALSE(mesh.view().hold_of("a", {}, now_ms + 60));
     CHECK(mesh.view().empty());
-    // Ends that come later count anew.
+    // Later crashes count.
     mesh.tell(2, end_of({"a"}, now_ms + minute_ms));
     CHECK_FALSE(mesh.view().hold_of("a", {}, now_ms + minute_ms));
     mesh.tell(3, end_of({"a"}, now_ms + minute_ms));
     CHECK(mesh.view().hold_of("a", {}, now_ms + minute_ms));
 }
 
-TEST_CASE("two ends at one owner count as two, one told twice as one")
+TEST_CASE(
+    "two crashes at one owner count twice, one reported twice counts once")
 {
     told_ends mesh(2);
     mesh.tell(2, end_of({"a"}, now_ms));
@@ -50,7 +51,7 @@
     CHECK(mesh.view().hold_of("a", {}, now_ms + 4000));
 }
 
-TEST_CASE("ends under the present try count before their news came")
+TEST_CASE("crashes under the present attempt count before they are reported")
 {
     told_ends mesh(4);
     const auto one = mesh.members.find({"127.0.0.1", 2})->rpc;
@@ -58,15 +59,15 @@
     CHECK_FALSE(mesh.view().hold_of("a", {one}, now_ms));
     CHECK(mesh.view().hold_of("a", {one, two}, now_ms));
     mesh.tell(2, end_of({"a"}));
-    CHECK_FALSE(mesh.view().hold_of("a", {one}, now_ms)); // the same end
+    CHECK_FALSE(mesh.view().hold_of("a", {one}, now_ms)); // the same crash
     CHECK(mesh.view().hold_of("a", {two}, now_ms));
 }
 
-TEST_CASE("a call is held longer with each round of ends, a day at most")
+TEST_CASE("the quarantine grows with each round of crashes, up to a day")
 {
     told_ends mesh(20);
     mesh.tell(2, end_of({"a"}));
-    mesh.tell(3, end_of({"a"}, now_ms + 700)); // of the same round
+    mesh.tell(3, end_of({"a"}, now_ms + 700)); // in the same round
     const auto first = mesh.view().hold_of("a", {}, now_ms + 700);
     REQUIRE(first);
     CHECK(first->rounds == 1);
@@ -74,7 +75,7 @@
     CHECK_FALSE(first->may_be_tried(false));
     const auto lapsed = now_ms + 700 + 10 * minute_ms;
     CHECK(mesh.view().hold_of("a", {}, lapsed)->may_be_tried(false));
-    // The trial then ended one more.
+    // The probe crashed another target.
     mesh.tell(4, end_of({"a"}, lapsed));
     const auto second = mesh.view().hold_of("a", {}, lapsed);
     CHECK(second->rounds == 2);
@@ -86,7 +87,7 @@
           suspect_calls::longest_hold);
 }
 
-TEST_CASE("a trial is soon for what was answered well, and only once")
+TEST_CASE("a call that succeeded before is probed early, but only once")
 {
     told_ends mesh(4);
     mesh.tell(2, end_of({"a"}));
@@ -95,12 +96,12 @@
     CHECK_FALSE(mesh.view().hold_of("a", {}, soon - 1)->may_be_tried(true));
     CHECK(mesh.view().hold_of("a", {}, soon)->may_be_tried(true));
     CHECK_FALSE(mesh.view().hold_of("a", {}, soon)->may_be_tried(false));
-    mesh.tell(4, end_of({"a"}, soon + 100)); // the trial
+    mesh.tell(4, end_of({"a"}, soon + 100)); // the probe
     CHECK_FALSE(
         mesh.view().hold_of("a", {}, soon + 60'000)->may_be_tried(true));
 }
 
-TEST_CASE("one owner tries a call, the same one for whoever asks")
+TEST_CASE("every node selects the same owner to probe a call")
 {
     std::vector<member_ptr> owners;
     for (std::uint16_t port = 1; port <= 6; ++port)
@@ -119,7 +120,7 @@
     CHECK(trial_owner({}, "a") == nullptr);
 }
 
-TEST_CASE("a clock that is behind the owner's takes an end for new")
+TEST_CASE("a crash in the future of the local clock has age zero")
 {
     told_ends mesh(3);
     mesh.tell(2, end_of({"a"}, now_ms + 5000));
@@ -128,7 +129,7 @@
           suspect_calls::first_hold);
 }
 
-TEST_CASE("bodies need to be read of calls with a suspect's head only")
+TEST_CASE("a known fingerprint is found by its first half")
 {
     told_ends mesh(2);
     mesh.tell(2, end_of({"0123456789abcdef.fedcba9876543210"}));
@@ -137,7 +138,7 @@
     CHECK_FALSE(mesh.view().knows_head("ffffffffffffffff"));
 }
 
-TEST_CASE("what is newly held is told once")
+TEST_CASE("a newly quarantined call is listed once")
 {
     told_ends mesh(4);
     mesh.tell(2, end_of({"a", "b"}));
@@ -148,16 +149,16 @@
     CHECK(after.newly_held(after, now_ms).empty());
 }
 
-TEST_CASE("ends outlast the boot of the node that told them")
+TEST_CASE("crashes are kept when the reporting node restarts")
 {
     told_ends mesh(2);
     mesh.tell(2, end_of({"a"}, now_ms));
     auto rebooted = owner_at(2);
-    rebooted.incarnation = 100; // knows nothing of it yet
+    rebooted.incarnation = 100; // has no record of the crash yet
     mesh.members.merge(rebooted);
     mesh.tell(2, end_of({"a"}, now_ms + 9000));
     CHECK(mesh.view().hold_of("a", {}, now_ms + 9000));
-    // The new boot itself takes them over from its row.
+    // The restarted node reads them from its stored row.
     member_list own(rebooted);
     auto row = owner_at(2);
     add_target_ends(row, {end_of({"a"}, now_ms)});
@@ -165,7 +166,8 @@
     CHECK(own.self().target_ends.size() == 1);
 }
 
-TEST_CASE("the newest four ends of a target are kept, the same ones everywhere")
+TEST_CASE(
+    "the newest four crashes of a target are kept, in any order of arrival")
 {
     std::vector<target_end> ends;
     for (std::uint64_t i = 0; i < 9; ++i)
@@ -183,7 +185,8 @@
     }
 }
 
-TEST_CASE("news is forgotten after a day, also where it comes back from others")
+TEST_CASE(
+    "crashes and runs expire after a day and are not restored by other members")
 {
     constexpr std::uint64_t day_ms = 24 * 60 * minute_ms;
     auto told = owner_at(2);
@@ -195,8 +198,8 @@
     CHECK(forget_news(told, now_ms + 1));
     CHECK(told.target_ends.empty());
     CHECK(told.good_runs.size() == 1);
-    // A younger end is taken over from the record that was known, an older
-    // one is not.
+    // A recent crash is taken over from the known record, an expired one is
+    // not.
     told.incarnation = 5;
     peer.set_now({}, now_ms);
     peer.merge(told);
@@ -207,7 +210,7 @@
     CHECK(peer.find(told.rpc)->target_ends.empty());
 }
 
-TEST_CASE("ends survive the wire; records without them are as they were")
+TEST_CASE("crashes are encoded and decoded; records without them are unchanged")
 {
     auto sent = owner_at(2);
     const auto plain = boost::json::serialize(to_json(sent));
@@ -215,14 +218,15 @@
     add_good_runs(sent, {good_run{"a", now_ms + 2}});
     const auto text = boost::json::serialize(to_json(sent));
     CHECK(*member_from_json(boost::json::parse(text)) == sent);
-    // Nodes of the release before read what stands before the ends.
+    // Nodes of the previous release read the part before the crashes.
     CHECK(text.starts_with(plain.substr(0, plain.size() - 1)));
     auto bad = boost::json::parse(text);
     bad.as_array()[14] = boost::json::parse(R"([["t","no number",[]]])");
     CHECK_FALSE(member_from_json(bad));
 }
 
-TEST_CASE("what ran well is remembered until a target ends under it")
+TEST_CASE(
+    "a successful run is remembered until a target crashes under the call")
 {
     const auto request_of = [](const std::string& path)
     { return whole_request(boost::beast::http::verb::get, path, 11); };
