--- a/tests/unit/target_register.cpp
+++ b/tests/unit/target_register.cpp
@@ -31,50 +31,51 @@
 
 } // namespace
 
-TEST_CASE("a target that left is never used again, whatever comes late")
+TEST_CASE(
+    "a target that left is never used again, whatever reports arrive late")
 {
-    rc::prop("over any order of reports, restarts and readings of the marks",
-             []
-             {
-                 target_register targets;
-                 std::set<std::string> acknowledged; // leavings
-                 const auto steps = *rc::gen::inRange(1, 40);
-                 for (int i = 0; i < steps; ++i)
-                 {
-                     const auto id =
-                         "t" + std::to_string(*rc::gen::inRange(0, 3));
-                     switch (*rc::gen::inRange(0, 5))
-                     {
-                     case 0:
-                         targets.take(
-                             report_of(id, report_state::draining,
-                                       *rc::gen::inRange<std::uint64_t>(0, 9)),
-                             {});
-                         acknowledged.insert(id);
-                         break;
-                     case 1: // the node is killed; what it kept is read later
-                         targets = target_register();
-                         break;
-                     case 2:
-                         for (const auto& each : acknowledged)
-                             targets.mark_left(each);
-                         targets.set_marks_known();
-                         break;
-                     default:
-                         targets.take(
-                             report_of(id, report_state::ready,
-                                       *rc::gen::inRange<std::uint64_t>(0, 9)),
-                             {});
-                     }
-                     const auto* used = targets.in_use();
-                     const bool kept =
-                         used == nullptr || !acknowledged.contains(used->id);
-                     RC_ASSERT(kept);
-                 }
-             });
+    rc::prop(
+        "for any order of reports, restarts and reads of departure records",
+        []
+        {
+            target_register targets;
+            std::set<std::string> acknowledged; // departures
+            const auto steps = *rc::gen::inRange(1, 40);
+            for (int i = 0; i < steps; ++i)
+            {
+                const auto id = "t" + std::to_string(*rc::gen::inRange(0, 3));
+                switch (*rc::gen::inRange(0, 5))
+                {
+                case 0:
+                    targets.take(
+                        report_of(id, report_state::draining,
+                                  *rc::gen::inRange<std::uint64_t>(0, 9)),
+                        {});
+                    acknowledged.insert(id);
+                    break;
+                case 1: // the node is killed; stored records are read later
+                    targets = target_register();
+                    break;
+                case 2:
+                    for (const auto& each : acknowledged)
+                        targets.mark_left(each);
+                    targets.set_marks_known();
+                    break;
+                default:
+                    targets.take(
+                        report_of(id, report_state::ready,
+                                  *rc::gen::inRange<std::uint64_t>(0, 9)),
+                        {});
+                }
+                const auto* used = targets.in_use();
+                const bool kept =
+                    used == nullptr || !acknowledged.contains(used->id);
+                RC_ASSERT(kept);
+            }
+        });
 }
 
-TEST_CASE("before the marks are known no report opens a target")
+TEST_CASE("no target is in use before the departure records are read")
 {
     target_register targets;
     targets.take(report_of("a", report_state::ready, 1), {});
@@ -85,7 +86,7 @@
     CHECK(targets.in_use()->id == "a");
 }
 
-TEST_CASE("the sequence orders the reports of one start")
+TEST_CASE("reports of one start are ordered by their sequence")
 {
     auto targets = open_register();
     CHECK(targets.take(report_of("a", report_state::ready, 5), {}) ==
@@ -98,8 +99,7 @@
           report_verdict::unchanged);
 }
 
-TEST_CASE(
-    "a late report of an earlier start gives way to the next of the newer")
+TEST_CASE("a late report of an earlier start does not replace the newer one")
 {
     auto targets = open_register();
     targets.take(report_of("old", report_state::ready, 7), {});
@@ -111,7 +111,7 @@
     CHECK(targets.in_use()->id == "new");
 }
 
-TEST_CASE("an old start's leaving does not close the new one")
+TEST_CASE("the departure of an old start does not close the new one")
 {
     auto targets = open_register();
     targets.take(report_of("old", report_state::ready, 1), {});
@@ -124,7 +124,7 @@
     CHECK(targets.in_use() == nullptr);
 }
 
-TEST_CASE("marks are bounded in number, the newest stay")
+TEST_CASE("only the newest departure records are kept")
 {
     auto targets = open_register();
     for (int i = 0; i < 50; ++i)
@@ -133,9 +133,10 @@
     CHECK(targets.has_left("t49"));
 }
 
-TEST_CASE("a target that starts again under its id is a new one")
+TEST_CASE("a target that restarts under the same id is a new one")
 {
-    // Its counts begin anew, and what its earlier start said holds for that.
+    // Its sequence restarts, and a departure of the earlier start is not its
+    // own.
     auto targets = open_register();
     const auto report =
         [](std::uint64_t born, report_state state, std::uint64_t sequence)
@@ -151,7 +152,7 @@
     CHECK(targets.take(report(2'000, ready, 1), now) ==
           report_verdict::changed);
     CHECK(targets.in_use()->born_ms == 2'000);
-    // Late words of the earlier start revive and end nothing.
+    // Late reports of the earlier start have no effect.
     CHECK(targets.take(report(1'000, ready, 51), now) == report_verdict::stale);
     targets.take(report(1'000, draining, 52), now);
     REQUIRE(targets.in_use() != nullptr);
@@ -161,7 +162,7 @@
     CHECK(targets.in_use() == nullptr);
     CHECK(targets.take(report(2'000, ready, 3), now) == report_verdict::stale);
     CHECK(targets.take(report(3'000, ready, 1), now) == report_verdict::opened);
-    // Marks of earlier starts bind these only, also after a restart.
+    // Departure records apply to their start only, also after a restart.
     target_register again;
     for (const auto& each : targets.left())
         again.mark_left(each);
@@ -170,7 +171,8 @@
     CHECK(again.take(report(3'000, ready, 2), now) == report_verdict::opened);
 }
 
-TEST_CASE("a start whose clock was set back is used once the other is silent")
+TEST_CASE(
+    "a start whose clock was set back is used once the other stops reporting")
 {
     auto targets = open_register();
     auto report = report_of("t", report_state::ready, 50);
@@ -185,7 +187,7 @@
           report_verdict::changed);
 }
 
-TEST_CASE("a last word that does not tell its start means the present one")
+TEST_CASE("a departure report without a start time means the current start")
 {
     auto targets = open_register();
     auto report = report_of("t", report_state::ready, 1);
@@ -196,7 +198,7 @@
     CHECK(targets.in_use() == nullptr);
 }
 
-TEST_CASE("a target may have got cold while nothing was sent to it")
+TEST_CASE("a target is taken for cold until its next report")
 {
     auto targets = open_register();
     const time_point now{std::chrono::hours(1)};
