--- a/tests/unit/told_ends.hpp
+++ b/tests/unit/told_ends.hpp
@@ -1,4 +1,4 @@
-/** @file Members that tell ends of their targets, for tests. */
+/** @file Members that report crashes of their targets, for tests. */
 #pragma once
 
 #include "tillerhall/routing/suspect_calls.hpp"
@@ -25,7 +25,9 @@
     return {"t-" + std::to_string(at_ms), at_ms, calls};
 }
 
-/** A mesh of which each owner tells the ends that it is given. */
+/**
+ * A member list in which each owner reports the crashes and runs it is given.
+ */
 struct told_ends
 {
     explicit told_ends(std::uint16_t owners)
