--- a/tests/unit/played_ends.cpp
+++ b/tests/unit/played_ends.cpp
@@ -1,4 +1,7 @@
-/** @file Days played with a call that ends its targets, and what others get. */
+/**
+ * @file Simulation of a call that crashes its targets, and its effect on other
+ * calls.
+ */
 #include "told_ends.hpp"
 
 #include "tillerhall/core/digest.hpp"
@@ -16,10 +19,10 @@
 {
 
 /**
- * Six targets with twelve places; one call ends each target that runs it and
- * its client comes back; a hundred calls of others that are made once and
- * popular ones that run everywhere. Targets also end for reasons of their own.
- * Each step is 10 ms, a run takes 12; news is known everywhere 3 steps later.
+ * Six targets with twelve slots. One call crashes each target that runs it, and
+ * its client retries. Other calls are made once, or are popular and run
+ * everywhere. Targets also crash for other reasons. A step is 10 ms, a run
+ * takes 12 steps; other members learn of crashes and runs 3 steps later.
  */
 class played_service
 {
@@ -128,7 +131,7 @@
         chosen.runs.push_back({call, ended_at, m_step + run_steps});
     }
 
-    /** Only the owner that may tries it, one at a time. */
+    /** Probes a call: only at the selected owner, one probe at a time. */
     void try_alone(const std::string& call)
     {
         auto& chosen = m_targets[stable_hash(call) % m_targets.size()];
@@ -223,7 +226,8 @@
 
 } // namespace
 
-TEST_CASE("of 1,000 drawn days the call that ends targets is held, few others")
+TEST_CASE(
+    "in 1,000 simulations the poison call is quarantined and few others are")
 {
     int ends = 0;
     int most_ends = 0;
@@ -241,12 +245,11 @@
         popular_held += day.popular_held;
     }
     CAPTURE(ends, most_ends, calls, held, popular_held);
-    // Two of its tries may be under way at once, and each may end two.
+    // Two of its attempts may run at once, and each may crash two targets.
     CHECK(most_ends <= 4);
-    // Says only that first tries are let in: calls that are made once do not
-    // come back here.
+    // Calls that are made once are not retried here, so this only shows that
+    // first attempts are admitted.
     CHECK(held == 0);
-    // 9 tries of 720,000; 230 if good runs cleared nothing, 18,032 if owners
-    // named what has lately run well.
+    // Popular calls are cleared by their successful runs.
     CHECK(popular_held < 60);
 }
