--- a/tests/unit/limits.cpp
+++ b/tests/unit/limits.cpp
@@ -296,7 +296,6 @@
     CHECK(queue.places.arrive(queue.now, {.deadline = queue.now + seconds(9),
                                           .most_wait = milliseconds(150)}) ==
           admission_verdict::queue_full);
-    // What is less urgent is not ahead of it.
     queue.waiters.clear();
 }
 
