--- a/include/tillerhall/targets/target_register.hpp
+++ b/include/tillerhall/targets/target_register.hpp
@@ -32,8 +32,8 @@
  * a late report never revives anything; of two starts under one id the later
  * one is in use. Among different ids the one whose first report came last is in
  * use; an older one takes over again only with a sequence that it has not used.
- * No target is in use before `marks_known`: after a restart the node must not
- * trust a report that may be older than a departure which its earlier boot
+ * No target is in use before `departures_known`: after a restart the node must
+ * not trust a report that may be older than a departure which its earlier boot
  * acknowledged. Free of I/O.
  */
 class target_register
@@ -43,7 +43,7 @@
      * Number of departure records kept. Reports older than that are no longer
      * in transit.
      */
-    static constexpr std::size_t most_marks = 8;
+    static constexpr std::size_t most_departures = 8;
 
     report_verdict take(const target_report& report, time_point now);
 
@@ -57,8 +57,8 @@
     /**
      * To be called when the departure records of earlier boots have been read.
      */
-    void set_marks_known() noexcept { m_marks_known = true; }
-    bool marks_known() const noexcept { return m_marks_known; }
+    void set_marks_known() noexcept { m_departures_known = true; }
+    bool departures_known() const noexcept { return m_departures_known; }
 
     /** @return the starts that have left, the newest last. */
     const std::vector<std::string>& left() const noexcept { return m_left; }
@@ -94,9 +94,10 @@
     std::map<std::string, std::uint64_t> m_sequences; ///< by start
     std::vector<std::string> m_left;
     std::optional<target_report> m_current;
-    time_point m_heard{}; ///< time of the last report of the target in use
+    time_point
+        m_last_report_at{}; ///< time of the last report of the target in use
     time_point m_cold_until{};
-    bool m_marks_known = false;
+    bool m_departures_known = false;
 };
 
 } // namespace tillerhall
--- a/src/targets/target_register.cpp
+++ b/src/targets/target_register.cpp
@@ -27,7 +27,7 @@
 {
     if (!has_left(start))
         m_left.push_back(start);
-    if (m_left.size() > most_marks)
+    if (m_left.size() > most_departures)
         m_left.erase(m_left.begin());
     const bool is_current = m_current && m_current->start() == start;
     const bool was_used = in_use() != nullptr && is_current;
@@ -39,9 +39,9 @@
 report_verdict target_register::take_leaving(const target_report& report)
 {
     // A departure that does not identify its start means the current one.
-    const bool is_untold =
+    const bool has_no_start =
         report.born_ms == 0 && m_current && m_current->id == report.id;
-    const auto start = is_untold ? m_current->start() : report.start();
+    const auto start = has_no_start ? m_current->start() : report.start();
     auto& sequence = m_sequences[start];
     sequence = std::max(sequence, report.sequence);
     const bool known = has_left(start);
@@ -56,7 +56,8 @@
     // A clock that was set back can make a later start seem the earlier one: it
     // takes over once the other has been silent.
     return m_current && m_current->id == report.id &&
-           report.born_ms < m_current->born_ms && now < m_heard + silent_after;
+           report.born_ms < m_current->born_ms &&
+           now < m_last_report_at + silent_after;
 }
 
 report_verdict target_register::take(const target_report& report,
@@ -77,9 +78,9 @@
                       m_current->slots == report.slots &&
                       m_current->release == report.release;
     m_current = report;
-    m_heard = now;
+    m_last_report_at = now;
     m_cold_until = now + report.cold_for;
-    if (!m_marks_known)
+    if (!m_departures_known)
         return report_verdict::unchanged;
     if (!was_open)
         return report_verdict::opened;
@@ -88,7 +89,7 @@
 
 const target_report* target_register::in_use() const noexcept
 {
-    return m_marks_known && m_current ? &*m_current : nullptr;
+    return m_departures_known && m_current ? &*m_current : nullptr;
 }
 
 const target_report* target_register::newest() const noexcept
--- a/tests/unit/target_register.cpp
+++ b/tests/unit/target_register.cpp
@@ -129,7 +129,7 @@
     auto targets = open_register();
     for (int i = 0; i < 50; ++i)
         targets.mark_left("t" + std::to_string(i));
-    CHECK(targets.left().size() == target_register::most_marks);
+    CHECK(targets.left().size() == target_register::most_departures);
     CHECK(targets.has_left("t49"));
 }
 
