--- a/include/tillerhall/routing/service_targets.hpp
+++ b/include/tillerhall/routing/service_targets.hpp
@@ -15,7 +15,7 @@
 {
 
 /** Canary targets and the share of a service's calls that they may get. */
-struct trial_targets
+struct canary_targets
 {
     std::vector<member_ptr> members;
     double share = 0; ///< of the calls to the service
@@ -45,7 +45,7 @@
      * @return the canary targets of @p service; empty unless a roll-out is
      * under way.
      */
-    const trial_targets& on_trial(const std::string& service) const;
+    const canary_targets& on_trial(const std::string& service) const;
 
     /**
      * @return the members in a planned stop whose targets still serve
@@ -62,12 +62,12 @@
     /**
      * Takes the members out of the lists whose releases may not get all calls.
      */
-    void part_by_release(const std::string& service,
-                         std::vector<member_ptr>& members,
-                         const rollout_view& rollouts);
-    void put_on_trial(const std::string& service,
-                      std::vector<member_ptr> newcomers,
-                      std::size_t settled_targets,
+    void split_by_release(const std::string& service,
+                          std::vector<member_ptr>& members,
+                          const rollout_view& rollouts);
+    void add_canaries(const std::string& service,
+                      std::vector<member_ptr> canaries,
+                      std::size_t stable_targets,
                       const rollout_view& rollouts);
 
     static const std::vector<member_ptr>& find(const by_service& in,
@@ -75,7 +75,7 @@
 
     by_service m_by_service;
     by_service m_leaving;
-    std::map<std::string, trial_targets> m_trials;
+    std::map<std::string, canary_targets> m_canaries;
     std::size_t m_live = 1;
 };
 
--- a/src/routing/service_targets.cpp
+++ b/src/routing/service_targets.cpp
@@ -25,12 +25,12 @@
  * that of most targets, among equals the first by name. Neither the release of
  * a running roll-out nor a closed one.
  */
-std::string usual_release(const std::string& service,
-                          const std::map<std::string, std::size_t>& counts,
-                          const rollout_view& rollouts)
+std::string majority_release(const std::string& service,
+                             const std::map<std::string, std::size_t>& counts,
+                             const rollout_view& rollouts)
 {
     const auto* ordered = rollouts.find(service);
-    std::string usual;
+    std::string majority;
     std::size_t most = 0;
     for (const auto& [release, count] : counts)
     {
@@ -39,16 +39,16 @@
         if (count > most && !is_ordered &&
             !rollouts.is_closed(service, release))
         {
-            usual = release;
+            majority = release;
             most = count;
         }
     }
-    return usual;
+    return majority;
 }
 
-bool is_suspect(const rollout_view& rollouts,
-                const std::string& service,
-                const member& checked)
+bool is_regressed(const rollout_view& rollouts,
+                  const std::string& service,
+                  const member& checked)
 {
     const auto* known = rollouts.find(service);
     return known != nullptr &&
@@ -80,12 +80,12 @@
     for (auto& [service, leaving] : m_leaving)
         m_by_service.try_emplace(service);
     for (auto& [service, serving] : m_by_service)
-        part_by_release(service, serving, rollouts);
+        split_by_release(service, serving, rollouts);
 }
 
-void service_targets::part_by_release(const std::string& service,
-                                      std::vector<member_ptr>& members,
-                                      const rollout_view& rollouts)
+void service_targets::split_by_release(const std::string& service,
+                                       std::vector<member_ptr>& members,
+                                       const rollout_view& rollouts)
 {
     const auto leaving = m_leaving.find(service);
     auto counts = count_releases(members);
@@ -94,24 +94,24 @@
     if (counts.empty() ||
         (counts.size() == 1 && rollouts.find(service) == nullptr))
         return;
-    auto settled = rollouts.settled(service);
-    if (settled.empty())
-        settled = usual_release(service, counts, rollouts);
+    auto stable_release = rollouts.settled(service);
+    if (stable_release.empty())
+        stable_release = majority_release(service, counts, rollouts);
     const auto standing = [&](const member_ptr& each)
     {
         return each->release.empty()
                    ? release_standing::settled
-                   : rollouts.standing(service, each->release, settled);
+                   : rollouts.standing(service, each->release, stable_release);
     };
     std::map<release_standing, std::vector<member_ptr>> parts;
     for (const auto& each : members)
         parts[standing(each)].push_back(each);
-    auto& staying = parts[release_standing::settled];
+    auto& stable = parts[release_standing::settled];
     auto& ordered = parts[release_standing::trial];
     // In the last step the old release gets no more calls, unless no other
     // target can take them.
     const bool moves = has_all_calls(rollouts, service) &&
-                       (!ordered.empty() || staying.empty());
+                       (!ordered.empty() || stable.empty());
     if (leaving != m_leaving.end())
         std::erase_if(leaving->second,
                       [&](const member_ptr& each)
@@ -125,33 +125,33 @@
         members = std::move(ordered);
         return;
     }
-    auto& guests = parts[release_standing::guest];
-    if (staying.empty() && ordered.empty())
+    auto& others = parts[release_standing::guest];
+    if (stable.empty() && ordered.empty())
     {
-        members = std::move(guests);
+        members = std::move(others);
         return;
     }
-    put_on_trial(service, ordered.empty() ? guests : ordered, staying.size(),
+    add_canaries(service, ordered.empty() ? others : ordered, stable.size(),
                  rollouts);
-    members = std::move(staying);
+    members = std::move(stable);
 }
 
-void service_targets::put_on_trial(const std::string& service,
-                                   std::vector<member_ptr> newcomers,
-                                   std::size_t settled_targets,
+void service_targets::add_canaries(const std::string& service,
+                                   std::vector<member_ptr> canaries,
+                                   std::size_t stable_targets,
                                    const rollout_view& rollouts)
 {
-    if (newcomers.empty())
+    if (canaries.empty())
         return;
-    std::erase_if(newcomers, [&](const member_ptr& each)
-                  { return is_suspect(rollouts, service, *each); });
+    std::erase_if(canaries, [&](const member_ptr& each)
+                  { return is_regressed(rollouts, service, *each); });
     // The same targets at every entry, so that few targets get the whole share.
-    std::ranges::sort(newcomers, {},
+    std::ranges::sort(canaries, {},
                       [](const member_ptr& each)
                       { return stable_hash(each->target_id); });
-    const auto terms = rollouts.terms(service, settled_targets);
-    newcomers.resize(std::min(newcomers.size(), terms.targets));
-    m_trials[service] = {std::move(newcomers), terms.share};
+    const auto terms = rollouts.terms(service, stable_targets);
+    canaries.resize(std::min(canaries.size(), terms.targets));
+    m_canaries[service] = {std::move(canaries), terms.share};
 }
 
 const std::vector<member_ptr>& service_targets::find(const by_service& in,
@@ -174,11 +174,12 @@
     return find(m_leaving, service);
 }
 
-const trial_targets& service_targets::on_trial(const std::string& service) const
+const canary_targets&
+service_targets::on_trial(const std::string& service) const
 {
-    static const trial_targets none;
-    const auto found = m_trials.find(service);
-    return found == m_trials.end() ? none : found->second;
+    static const canary_targets none;
+    const auto found = m_canaries.find(service);
+    return found == m_canaries.end() ? none : found->second;
 }
 
 } // namespace tillerhall
