--- a/include/tillerhall/routing/target_board.hpp
+++ b/include/tillerhall/routing/target_board.hpp
@@ -60,7 +60,7 @@
 {
     call_verdict verdict = call_verdict::unknown;
     duration took{};
-    owner_word told; ///< sent by the owner with its answer
+    owner_word report; ///< sent by the owner with its answer
     work_class work;
     std::size_t answer_bytes = 0; ///< size of the answer body; 0 unless
                                   ///< answered
@@ -129,7 +129,7 @@
      * @param round_trip time between question and answer
      */
     void told(const address& owner,
-              const owner_word& word,
+              const owner_word& report,
               duration round_trip,
               time_point now);
 
@@ -177,8 +177,8 @@
         double refusals = 0; ///< decaying share of recent calls
         double latency_ms = 0;
         double incoming_bytes = 0;    ///< at `asked`
-        milliseconds link_backlog{0}; ///< at `told_at`
-        time_point told_at{};         ///< time of the last load report
+        milliseconds link_backlog{0}; ///< at `reported_at`
+        time_point reported_at{};     ///< time of the last load report
         double round_trip_ms = 0;     ///< at `asked`
         time_point asked{};
         time_point first_seen{};
@@ -195,7 +195,8 @@
     double effective_weight(const place_route& place,
                             const std::vector<address>& avoid,
                             time_point now);
-    static void take_word(record& of, const owner_word& word, time_point now);
+    static void
+    take_report(record& of, const owner_word& report, time_point now);
     record& record_of(const address& owner, time_point now);
     static bool has_free_place(const record& of);
     target_standing standing(const record& of, time_point now) const;
@@ -219,7 +220,7 @@
     std::map<address, record> m_records;
     answer_sizes m_answers;
     std::map<std::string, retry_budget> m_budgets;
-    std::uint64_t m_turn = 0;
+    std::uint64_t m_choices = 0;
 };
 
 } // namespace tillerhall
--- a/src/routing/target_board.cpp
+++ b/src/routing/target_board.cpp
@@ -20,10 +20,10 @@
 constexpr double warm_up_s = 5;
 // A load report is recent for this part of a mean run: within a run all slots
 // of a target are reassigned.
-constexpr double word_holds_runs = 0.1;
+constexpr double report_valid_runs = 0.1;
 // How long a report of a full canary target counts, about a run. Other calls
 // seldom go there, so no newer report replaces it.
-constexpr milliseconds full_holds(200);
+constexpr milliseconds full_report_valid(200);
 // Weight of the newest call in the share of refusals. They reflect the present
 // load, so few calls are enough.
 constexpr double refusal_share = 0.3;
@@ -45,7 +45,7 @@
 constexpr double unknown_answer_bytes = 1024;
 
 // How long a report about a link is recent, about the time of one body.
-constexpr milliseconds word_of_link_holds(100);
+constexpr milliseconds link_report_valid(100);
 // While a body fills a link, all other calls to that host wait behind it, so
 // time on the link has a higher weight.
 constexpr double link_weight = 5;
@@ -142,8 +142,8 @@
     const auto fading = std::exp2(-age / half_life_s);
     seen.recent_failures = of.failures * fading;
     seen.recent_refusals = of.refusals * fading;
-    const auto word_age = std::max(0.0, seconds(now - of.told_at));
-    seen.owner_load = of.load * std::exp2(-word_age / half_life_s);
+    const auto report_age = std::max(0.0, seconds(now - of.reported_at));
+    seen.owner_load = of.load * std::exp2(-report_age / half_life_s);
     seen.latency_ms = of.latency_ms * fading;
     seen.slots = of.slots;
     seen.warmth = std::min(1.0, seconds(now - of.first_seen) / warm_up_s);
@@ -160,7 +160,7 @@
         return 0;
     constexpr double bits = 8;
     constexpr double bits_per_ms_and_mbps = 1000;
-    const bool asked = now < known.asked + word_of_link_holds;
+    const bool asked = now < known.asked + link_report_valid;
     const double ahead = asked ? known.incoming_bytes : 0;
     const double waits = asked ? known.round_trip_ms : 0;
     const double bytes = ahead + static_cast<double>(from.bytes);
@@ -176,7 +176,7 @@
         return 0;
     // The link has sent some of the backlog since the report.
     const double left =
-        seconds(known.told_at + known.link_backlog - now) * 1000;
+        seconds(known.reported_at + known.link_backlog - now) * 1000;
     const double own = to_ms(
         link_schedule(to.link_mbps).time_of(static_cast<std::uint64_t>(bytes)));
     return std::max(0.0, left) + own;
@@ -257,7 +257,7 @@
     std::vector<target_standing> offered;
     for (const auto i : usable)
         offered.push_back(standings[i]);
-    const auto picked = m_policy.choose(offered, m_turn++, m_random);
+    const auto picked = m_policy.choose(offered, m_choices++, m_random);
     return left[usable[picked]];
 }
 
@@ -310,26 +310,28 @@
     if (call.verdict == call_verdict::good)
         of.latency_ms +=
             (seconds(call.took) * 1000 - of.latency_ms) * newest_share;
-    take_word(of, call.told, now);
-    if (call.told.run_ms > 0)
-        of.run_ms[call.work] = call.told.run_ms;
-    if (!call.told.load && call.verdict == call_verdict::refused)
+    take_report(of, call.report, now);
+    if (call.report.run_ms > 0)
+        of.run_ms[call.work] = call.report.run_ms;
+    if (!call.report.load && call.verdict == call_verdict::refused)
     {
         of.load = std::max(of.load, 1.0);
-        of.told_at = now;
+        of.reported_at = now;
     }
     of.last_end = now;
 }
 
-void target_board::take_word(record& of, const owner_word& word, time_point now)
+void target_board::take_report(record& of,
+                               const owner_word& report,
+                               time_point now)
 {
-    if (word.slots > 0)
-        of.slots = word.slots;
-    if (!word.load)
+    if (report.slots > 0)
+        of.slots = report.slots;
+    if (!report.load)
         return;
-    of.load = *word.load;
-    of.link_backlog = word.link_backlog;
-    of.told_at = now;
+    of.load = *report.load;
+    of.link_backlog = report.link_backlog;
+    of.reported_at = now;
 }
 
 owner_outlook target_board::outlook(const member& owner,
@@ -342,8 +344,8 @@
     seen.is_near = from.place != nullptr && *from.place == owner.place;
     const auto run = known.run_ms.find(from.work);
     const double run_ms = run == known.run_ms.end() ? 0 : run->second;
-    const double age_ms = seconds(now - known.told_at) * 1000;
-    seen.is_known = age_ms < word_holds_runs * run_ms;
+    const double age_ms = seconds(now - known.reported_at) * 1000;
+    seen.is_known = age_ms < report_valid_runs * run_ms;
     seen.has_room = has_free_place(known);
     return seen;
 }
@@ -364,7 +366,8 @@
 {
     const std::lock_guard lock(m_mutex);
     const auto& known = m_records[owner];
-    return now < known.told_at + full_holds && !has_free_place(known);
+    return now < known.reported_at + full_report_valid &&
+           !has_free_place(known);
 }
 
 double target_board::answer_bytes(const work_class& work)
@@ -374,18 +377,18 @@
 }
 
 void target_board::told(const address& owner,
-                        const owner_word& word,
+                        const owner_word& report,
                         duration round_trip,
                         time_point now)
 {
     const std::lock_guard lock(m_mutex);
     auto& of = record_of(owner, now);
-    take_word(of, word, now);
+    take_report(of, report, now);
     // It has free slots again, whatever it refused before.
-    if (word.load && *word.load < 1)
+    if (report.load && *report.load < 1)
         of.refusals = 0;
     of.round_trip_ms = seconds(round_trip) * 1000;
-    of.incoming_bytes = static_cast<double>(word.incoming_bytes);
+    of.incoming_bytes = static_cast<double>(report.incoming_bytes);
     of.asked = now;
 }
 
--- a/tests/unit/load_inquiry.cpp
+++ b/tests/unit/load_inquiry.cpp
@@ -117,26 +117,26 @@
 
 constexpr std::size_t entry_count = 40;
 constexpr std::size_t owner_count = 40;
-constexpr double places = 8;
+constexpr double slots = 8;
 constexpr work_class work{0, milliseconds(1'500), call_kind::repeatable};
 const member_place here{"r", "a"};
 
-struct played_owner
+struct simulated_owner
 {
     double running = 0;
     double run_ms = 0; ///< mean
 };
 
 /** Results of the calls of a simulated service. */
-struct played_calls
+struct simulated_calls
 {
     double refused = 0; ///< share whose first owner was full
     double run_ms = 0;  ///< mean run time of the others
 };
 
-struct played_entry
+struct simulated_entry
 {
-    explicit played_entry(std::uint64_t seed)
+    explicit simulated_entry(std::uint64_t seed)
         : board(**find_policy("least_time"), seed)
     {
     }
@@ -149,11 +149,11 @@
  * Simulates entries that call a service of 40 targets with 8 slots each and
  * mean run times of 258 to 602 ms, at @p load of their capacity.
  */
-played_calls play_service(bool asks, double load)
+simulated_calls simulate_service(bool asks, double load)
 {
     random_source random(5);
     std::vector<member_ptr> all;
-    std::map<address, played_owner> state;
+    std::map<address, simulated_owner> state;
     for (std::uint16_t i = 0; i < owner_count; ++i)
     {
         auto made = std::make_shared<member>();
@@ -162,27 +162,27 @@
         all.push_back(made);
         state[made->rpc].run_ms = 430 * (0.6 + 0.2 * (i % 5));
     }
-    std::vector<std::unique_ptr<played_entry>> entries;
+    std::vector<std::unique_ptr<simulated_entry>> entries;
     for (std::size_t i = 0; i < entry_count; ++i)
-        entries.push_back(std::make_unique<played_entry>(i + 1));
+        entries.push_back(std::make_unique<simulated_entry>(i + 1));
     struct end
     {
-        played_entry* entry;
+        simulated_entry* entry;
         address owner;
         duration took;
     };
     std::multimap<time_point, end> ends;
     const address own{"10.0.0.2", 1};
     const call_origin from{&here, &own, 0, work};
-    const auto word = [&](const address& owner)
+    const auto report_of = [&](const address& owner)
     {
-        owner_word told;
-        told.load = state[owner].running / places;
-        told.slots = places;
-        told.run_ms = state[owner].run_ms;
-        return told;
+        owner_word report;
+        report.load = state[owner].running / slots;
+        report.slots = slots;
+        report.run_ms = state[owner].run_ms;
+        return report;
     };
-    const double per_s = load * owner_count * places / 0.43;
+    const double per_s = load * owner_count * slots / 0.43;
     int calls = 0;
     int refused = 0;
     double run_ms = 0;
@@ -196,10 +196,10 @@
             const auto [at, done] = *ends.begin();
             ends.erase(ends.begin());
             --state[done.owner].running;
-            done.entry->board.ended(
-                done.owner,
-                {call_verdict::good, done.took, word(done.owner), work, 100},
-                at);
+            done.entry->board.ended(done.owner,
+                                    {call_verdict::good, done.took,
+                                     report_of(done.owner), work, 100},
+                                    at);
         }
         auto& entry = *entries[random.below(entry_count)];
         std::vector<member_ptr> informed;
@@ -213,10 +213,10 @@
             for (const auto i :
                  entry.inquiry.whom_to_ask(outlooks, favourite, now, random))
             {
-                const auto told = word(all[i]->rpc);
-                entry.board.told(all[i]->rpc, told, milliseconds(3), now);
-                entry.inquiry.answered(*told.load >= 1);
-                if (*told.load < 1)
+                const auto report = report_of(all[i]->rpc);
+                entry.board.told(all[i]->rpc, report, milliseconds(3), now);
+                entry.inquiry.answered(*report.load >= 1);
+                if (*report.load < 1)
                     informed.push_back(all[i]);
             }
         for (std::size_t i = 0; asks && i < all.size(); ++i)
@@ -230,12 +230,12 @@
         const bool counts = ms > 3'000; // ignores the warm-up
         calls += counts ? 1 : 0;
         entry.board.started(owner->rpc);
-        if (chosen.running >= places)
+        if (chosen.running >= slots)
         {
             refused += counts ? 1 : 0;
             entry.board.ended(owner->rpc,
                               {call_verdict::refused, milliseconds(3),
-                               word(owner->rpc), work, 0},
+                               report_of(owner->rpc), work, 0},
                               now);
             continue;
         }
@@ -252,17 +252,17 @@
 
 TEST_CASE("with load queries fewer calls meet a full owner")
 {
-    const auto asking = play_service(true, 0.85);
-    const auto remembering = play_service(false, 0.85);
-    CAPTURE(asking.refused, remembering.refused);
-    CHECK(remembering.refused > 0.15);
-    CHECK(asking.refused < remembering.refused / 2);
+    const auto asking = simulate_service(true, 0.85);
+    const auto without = simulate_service(false, 0.85);
+    CAPTURE(asking.refused, without.refused);
+    CHECK(without.refused > 0.15);
+    CHECK(asking.refused < without.refused / 2);
 }
 
 TEST_CASE("at low load entries with load queries still choose the fast targets")
 {
-    const auto asking = play_service(true, 0.3);
-    const auto remembering = play_service(false, 0.3);
-    CAPTURE(asking.run_ms, remembering.run_ms);
-    CHECK(asking.run_ms < remembering.run_ms * 1.1);
+    const auto asking = simulate_service(true, 0.3);
+    const auto without = simulate_service(false, 0.3);
+    CAPTURE(asking.run_ms, without.run_ms);
+    CHECK(asking.run_ms < without.run_ms * 1.1);
 }
--- a/tests/unit/routing.cpp
+++ b/tests/unit/routing.cpp
@@ -160,12 +160,12 @@
     const auto ran = [&](std::uint16_t port, const work_class& work, double ms)
     {
         const address owner{"127.0.0.1", port};
-        owner_word told;
-        told.load = 0.5;
-        told.slots = 13;
-        told.run_ms = ms;
+        owner_word report;
+        report.load = 0.5;
+        report.slots = 13;
+        report.run_ms = ms;
         board.started(owner);
-        board.ended(owner, {call_verdict::good, milliseconds(20), told, work},
+        board.ended(owner, {call_verdict::good, milliseconds(20), report, work},
                     now);
     };
     // The first target gets the short lookups, but its bookings take longer.
@@ -200,14 +200,14 @@
                          std::size_t answer_bytes)
     {
         const address owner{"127.0.0.1", port};
-        owner_word told;
-        told.load = 0.1;
-        told.slots = 13;
-        told.run_ms = ms;
+        owner_word report;
+        report.load = 0.1;
+        report.slots = 13;
+        report.run_ms = ms;
         board.started(owner);
         board.ended(
             owner,
-            {call_verdict::good, milliseconds(20), told, work, answer_bytes},
+            {call_verdict::good, milliseconds(20), report, work, answer_bytes},
             now);
     };
     // The near target takes longer: that is worth the distance for a small
