--- a/include/tillerhall/routing/policy.hpp
+++ b/include/tillerhall/routing/policy.hpp
@@ -34,11 +34,11 @@
 
     /**
      * @param candidates at least one
-     * @param turn number of the choice, increases by one with each
+     * @param sequence number of the choice, increases by one with each
      * @return an index into @p candidates.
      */
     virtual std::size_t choose(std::span<const target_standing> candidates,
-                               std::uint64_t turn,
+                               std::uint64_t sequence,
                                random_source& random) const = 0;
 };
 
--- a/src/routing/policy.cpp
+++ b/src/routing/policy.cpp
@@ -109,16 +109,16 @@
     }
 };
 
-/** Takes the candidates in turn. */
+/** Takes the candidates in sequence. */
 class round_robin_policy : public choice_policy
 {
 public:
     std::string_view name() const noexcept override { return "round_robin"; }
     std::size_t choose(std::span<const target_standing> candidates,
-                       std::uint64_t turn,
+                       std::uint64_t sequence,
                        random_source&) const override
     {
-        return turn % candidates.size();
+        return sequence % candidates.size();
     }
 };
 
@@ -131,11 +131,11 @@
         return "least_in_flight";
     }
     std::size_t choose(std::span<const target_standing> candidates,
-                       std::uint64_t turn,
+                       std::uint64_t sequence,
                        random_source&) const override
     {
-        // Ties are broken in turn, or the first would take them all.
-        std::size_t best = turn % candidates.size();
+        // Ties are broken in sequence, or the first would take them all.
+        std::size_t best = sequence % candidates.size();
         for (std::size_t i = 0; i < candidates.size(); ++i)
             if (candidates[i].own_in_flight < candidates[best].own_in_flight)
                 best = i;
