--- a/include/tillerhall/routing/refusal_memory.hpp
+++ b/include/tillerhall/routing/refusal_memory.hpp
@@ -16,7 +16,7 @@
 struct refused_work
 {
     work_class work;
-    bool came_back = false; ///< a retry after a refusal; admitted behind others
+    bool is_retry = false; ///< a retry after a refusal; admitted behind others
 
     friend auto operator<=>(const refused_work&, const refused_work&) = default;
 };
@@ -47,7 +47,7 @@
      */
     static constexpr milliseconds longest_pause{250};
     /** For this long after a pause the owner is asked once a pause only. */
-    static constexpr milliseconds kept{1'000};
+    static constexpr milliseconds retention{1'000};
     /**
      * A pause ends at a random time after this share of it, so that entries
      * that were refused together do not ask together.
--- a/src/routing/refusal_memory.cpp
+++ b/src/routing/refusal_memory.cpp
@@ -21,19 +21,19 @@
                            const refused_work& work,
                            time_point now)
 {
-    const auto sort = m_refusals.find(work);
-    if (sort == m_refusals.end())
+    const auto by_owner = m_refusals.find(work);
+    if (by_owner == m_refusals.end())
         return;
-    const auto known = sort->second.find(owner);
-    if (known != sort->second.end())
+    const auto known = by_owner->second.find(owner);
+    if (known != by_owner->second.end())
         known->second.until = now + known->second.pause;
 }
 
 void refusal_memory::admitted(const address& owner, const refused_work& work)
 {
-    const auto sort = m_refusals.find(work);
-    if (sort != m_refusals.end())
-        sort->second.erase(owner);
+    const auto by_owner = m_refusals.find(work);
+    if (by_owner != m_refusals.end())
+        by_owner->second.erase(owner);
 }
 
 std::vector<address> refusal_memory::refusing(const refused_work& work,
@@ -43,10 +43,10 @@
     if (found == m_refusals.end())
         return {};
     std::erase_if(found->second, [&](const auto& each)
-                  { return each.second.until + kept <= now; });
+                  { return each.second.until + retention <= now; });
     std::vector<address> owners;
-    for (const auto& [owner, told] : found->second)
-        if (now < told.until)
+    for (const auto& [owner, cached] : found->second)
+        if (now < cached.until)
             owners.push_back(owner);
     return owners;
 }
@@ -58,10 +58,10 @@
     duration shortest{};
     if (found == m_refusals.end())
         return shortest;
-    for (const auto& [owner, told] : found->second)
-        if (now < told.until &&
-            (shortest == duration::zero() || told.retry_after < shortest))
-            shortest = told.retry_after;
+    for (const auto& [owner, cached] : found->second)
+        if (now < cached.until &&
+            (shortest == duration::zero() || cached.retry_after < shortest))
+            shortest = cached.retry_after;
     return shortest;
 }
 
--- a/tests/unit/refusal_memory.cpp
+++ b/tests/unit/refusal_memory.cpp
@@ -87,16 +87,16 @@
 /** An entry that asks at most three owners for each attempt. */
 struct entry
 {
-    bool lead(slow_service& service,
-              bool remembers,
-              random_source& random,
-              time_point now)
+    bool route(slow_service& service,
+               bool with_cache,
+               random_source& random,
+               time_point now)
     {
         std::vector<std::size_t> order(slow_service::size);
         std::ranges::generate(order, [i = 0U]() mutable { return i++; });
         std::ranges::shuffle(order, random);
-        const auto refusing = memory.refusing(reads, now);
-        if (remembers)
+        const auto refusing = cache.refusing(reads, now);
+        if (with_cache)
             std::erase_if(order,
                           [&](std::size_t each) {
                               return std::ranges::find(refusing,
@@ -108,25 +108,25 @@
             order,
             [&](std::size_t owner)
             {
-                memory.asked(owner_at(owner), reads, now);
+                cache.asked(owner_at(owner), reads, now);
                 if (service.takes(owner, now))
                 {
-                    memory.admitted(owner_at(owner), reads);
+                    cache.admitted(owner_at(owner), reads);
                     return true;
                 }
-                memory.refused(owner_at(owner), reads,
-                               service.retry_after(owner), random.unit(), now);
+                cache.refused(owner_at(owner), reads,
+                              service.retry_after(owner), random.unit(), now);
                 return false;
             });
     }
 
-    refusal_memory memory;
+    refusal_memory cache;
 };
 
 /**
  * Simulates four seconds of 1,500 calls a second, each with up to four retries.
  */
-load_counts play(bool remembers)
+load_counts simulate(bool with_cache)
 {
     constexpr int entries = 13;
     constexpr int most_tries = 5;
@@ -146,7 +146,7 @@
             const int before = tries.front();
             tries.pop_front();
             auto& node = nodes[random.below(entries)];
-            if (!node.lead(service, remembers, random, now) &&
+            if (!node.route(service, with_cache, random, now) &&
                 before + 1 < most_tries)
                 tries.push_back(before + 1);
         }
@@ -159,8 +159,8 @@
 TEST_CASE(
     "in a retry storm owners are asked far less often and as many calls run")
 {
-    const auto without = play(false);
-    const auto with = play(true);
+    const auto without = simulate(false);
+    const auto with = simulate(true);
     INFO("asked " << with.asked << " for " << without.asked << ", ran "
                   << with.ran << " for " << without.ran);
     CHECK(with.asked < without.asked / 5);
@@ -170,50 +170,49 @@
 TEST_CASE(
     "a refusal is cached by owner and class of work, and for a short time")
 {
-    refusal_memory memory;
-    memory.refused(owner_at(0), reads, std::chrono::seconds(1), 0.99, start);
-    CHECK(memory.refusing(reads, start) == std::vector{owner_at(0)});
-    CHECK(memory.refusing(bookings, start).empty());
-    CHECK(memory.refusing({reads.work, true}, start).empty());
-    CHECK(
-        memory.refusing(reads, start + refusal_memory::longest_pause).empty());
+    refusal_memory cache;
+    cache.refused(owner_at(0), reads, std::chrono::seconds(1), 0.99, start);
+    CHECK(cache.refusing(reads, start) == std::vector{owner_at(0)});
+    CHECK(cache.refusing(bookings, start).empty());
+    CHECK(cache.refusing({reads.work, true}, start).empty());
+    CHECK(cache.refusing(reads, start + refusal_memory::longest_pause).empty());
 }
 
 TEST_CASE("a pause is no longer than the owner's Retry-After")
 {
-    refusal_memory memory;
-    memory.refused(owner_at(0), reads, milliseconds(4), 0.99, start);
-    CHECK(memory.refusing(reads, start + milliseconds(4)).empty());
+    refusal_memory cache;
+    cache.refused(owner_at(0), reads, milliseconds(4), 0.99, start);
+    CHECK(cache.refusing(reads, start + milliseconds(4)).empty());
 }
 
 TEST_CASE("after a pause an owner is asked once a pause until it admits a call")
 {
-    refusal_memory memory;
-    memory.refused(owner_at(0), reads, milliseconds(100), 0, start);
+    refusal_memory cache;
+    cache.refused(owner_at(0), reads, milliseconds(100), 0, start);
     const auto after = start + milliseconds(60);
-    CHECK(memory.refusing(reads, after).empty());
-    memory.asked(owner_at(0), reads, after);
-    CHECK(memory.refusing(reads, after + milliseconds(40)).size() == 1);
-    CHECK(memory.refusing(reads, after + milliseconds(60)).empty());
-    memory.asked(owner_at(0), reads, after + milliseconds(60));
-    memory.admitted(owner_at(0), reads);
-    CHECK(memory.refusing(reads, after + milliseconds(61)).empty());
+    CHECK(cache.refusing(reads, after).empty());
+    cache.asked(owner_at(0), reads, after);
+    CHECK(cache.refusing(reads, after + milliseconds(40)).size() == 1);
+    CHECK(cache.refusing(reads, after + milliseconds(60)).empty());
+    cache.asked(owner_at(0), reads, after + milliseconds(60));
+    cache.admitted(owner_at(0), reads);
+    CHECK(cache.refusing(reads, after + milliseconds(61)).empty());
 }
 
 TEST_CASE("pauses of entries that were refused together end at different times")
 {
-    refusal_memory memory;
-    memory.refused(owner_at(0), reads, milliseconds(40), 0, start);
-    memory.refused(owner_at(1), reads, milliseconds(40), 0.9, start);
-    CHECK(memory.refusing(reads, start + milliseconds(30)) ==
+    refusal_memory cache;
+    cache.refused(owner_at(0), reads, milliseconds(40), 0, start);
+    cache.refused(owner_at(1), reads, milliseconds(40), 0.9, start);
+    CHECK(cache.refusing(reads, start + milliseconds(30)) ==
           std::vector{owner_at(1)});
 }
 
 TEST_CASE("callers get the shortest Retry-After of the owners")
 {
-    refusal_memory memory;
-    CHECK(memory.retry_after(reads, start) == duration::zero());
-    memory.refused(owner_at(0), reads, milliseconds(300), 0.5, start);
-    memory.refused(owner_at(1), reads, milliseconds(200), 0.5, start);
-    CHECK(memory.retry_after(reads, start) == milliseconds(200));
+    refusal_memory cache;
+    CHECK(cache.retry_after(reads, start) == duration::zero());
+    cache.refused(owner_at(0), reads, milliseconds(300), 0.5, start);
+    cache.refused(owner_at(1), reads, milliseconds(200), 0.5, start);
+    CHECK(cache.retry_after(reads, start) == milliseconds(200));
 }
