--- a/include/tillerhall/routing/cold_gate.hpp
+++ b/include/tillerhall/routing/cold_gate.hpp
@@ -24,8 +24,8 @@
 public:
     static constexpr std::chrono::seconds window{1};
 
-    explicit cold_gate(time_point begun) noexcept
-        : m_begun(begun)
+    explicit cold_gate(time_point started) noexcept
+        : m_started(started)
     {
     }
 
@@ -48,7 +48,7 @@
     static std::size_t most_of(double per_s) noexcept;
     void forget_old(time_point now);
 
-    time_point m_begun;
+    time_point m_started;
     std::deque<time_point> m_sent;
 };
 
--- a/src/routing/cold_gate.cpp
+++ b/src/routing/cold_gate.cpp
@@ -25,13 +25,13 @@
 bool cold_gate::has_room(double per_s, time_point now)
 {
     forget_old(now);
-    return now >= m_begun + window && m_sent.size() < most_of(per_s);
+    return now >= m_started + window && m_sent.size() < most_of(per_s);
 }
 
 double cold_gate::used(double per_s, time_point now)
 {
     forget_old(now);
-    if (now < m_begun + window)
+    if (now < m_started + window)
         return 1;
     return static_cast<double>(m_sent.size()) /
            static_cast<double>(most_of(per_s));
@@ -41,7 +41,7 @@
 {
     if (has_room(per_s, now))
         return duration::zero();
-    const auto begin = m_begun + window;
+    const auto begin = m_started + window;
     const auto most = most_of(per_s);
     if (m_sent.size() < most)
         return begin - now;
--- a/tests/unit/cold_gate.cpp
+++ b/tests/unit/cold_gate.cpp
@@ -15,7 +15,7 @@
 namespace
 {
 
-const time_point begun{std::chrono::hours(1)};
+const time_point started{std::chrono::hours(1)};
 
 /** @return the largest number of @p sent within a second. */
 std::size_t most_in_a_second(const std::vector<time_point>& sent)
@@ -39,15 +39,15 @@
              {
                  const double per_s = *rc::gen::inRange(1, 40);
                  random_source random(*rc::gen::arbitrary<std::uint64_t>());
-                 cold_gate gate(begun);
+                 cold_gate limiter(started);
                  std::vector<time_point> sent;
-                 auto now = begun + cold_gate::window;
+                 auto now = started + cold_gate::window;
                  for (int i = 0; i < 400; ++i)
                  {
                      now += milliseconds(random.below(40));
-                     if (!gate.has_room(per_s, now))
+                     if (!limiter.has_room(per_s, now))
                          continue;
-                     gate.sent(now);
+                     limiter.sent(now);
                      sent.push_back(now);
                  }
                  RC_ASSERT(static_cast<double>(most_in_a_second(sent)) <=
@@ -57,35 +57,35 @@
 
 TEST_CASE("calls to a warm target count when it becomes cold")
 {
-    cold_gate gate(begun);
-    const auto now = begun + std::chrono::seconds(5);
+    cold_gate limiter(started);
+    const auto now = started + std::chrono::seconds(5);
     for (int i = 0; i < 30; ++i)
-        gate.sent(now + milliseconds(10 * i));
-    CHECK_FALSE(gate.has_room(14, now + milliseconds(400)));
-    CHECK(gate.used(14, now + milliseconds(400)) > 1);
-    CHECK(gate.has_room(14, now + milliseconds(1'200)));
+        limiter.sent(now + milliseconds(10 * i));
+    CHECK_FALSE(limiter.has_room(14, now + milliseconds(400)));
+    CHECK(limiter.used(14, now + milliseconds(400)) > 1);
+    CHECK(limiter.has_room(14, now + milliseconds(1'200)));
 }
 
 TEST_CASE("a new process sends nothing to a cold target in its first second")
 {
-    cold_gate gate(begun);
-    CHECK_FALSE(gate.has_room(14, begun + milliseconds(10)));
-    CHECK(gate.wait(14, begun + milliseconds(10)) == milliseconds(990));
-    CHECK(gate.has_room(14, begun + milliseconds(1'000)));
+    cold_gate limiter(started);
+    CHECK_FALSE(limiter.has_room(14, started + milliseconds(10)));
+    CHECK(limiter.wait(14, started + milliseconds(10)) == milliseconds(990));
+    CHECK(limiter.has_room(14, started + milliseconds(1'000)));
 }
 
 TEST_CASE("a refused call gets the time until the limit allows it")
 {
-    cold_gate gate(begun);
-    const auto now = begun + std::chrono::seconds(2);
+    cold_gate limiter(started);
+    const auto now = started + std::chrono::seconds(2);
     for (int i = 0; i < 14; ++i)
     {
-        CHECK(gate.wait(14, now) == duration::zero());
-        gate.sent(now + milliseconds(i));
+        CHECK(limiter.wait(14, now) == duration::zero());
+        limiter.sent(now + milliseconds(i));
     }
     const auto later = now + milliseconds(100);
-    const auto wait = gate.wait(14, later);
+    const auto wait = limiter.wait(14, later);
     CHECK(wait == milliseconds(900));
-    CHECK_FALSE(gate.has_room(14, later + wait - milliseconds(1)));
-    CHECK(gate.has_room(14, later + wait));
+    CHECK_FALSE(limiter.has_room(14, later + wait - milliseconds(1)));
+    CHECK(limiter.has_room(14, later + wait));
 }
