--- a/include/tillerhall/routing/admission.hpp
+++ b/include/tillerhall/routing/admission.hpp
@@ -154,7 +154,7 @@
     std::int64_t m_waiting = 0;
     std::int64_t m_most_in_flight = 0;
     duration m_mean_run{};
-    int m_runs_counted = 0; ///< runs in the mean, at most `mean_share`
+    int m_runs_counted = 0; ///< runs in the mean, at most `mean_runs`
 };
 
 } // namespace tillerhall
--- a/include/tillerhall/routing/run_estimates.hpp
+++ b/include/tillerhall/routing/run_estimates.hpp
@@ -18,15 +18,15 @@
 {
 public:
     /**
-     * The newest run has a weight of 1 / mean_share, more while fewer have
+     * The newest run has a weight of 1 / mean_runs, more while fewer have
      * ended.
      */
-    static constexpr int mean_share = 32;
+    static constexpr int mean_runs = 32;
 
     void ran(const work_class& work, duration took)
     {
         auto& known = m_known[work];
-        known.runs = std::min(known.runs + 1, mean_share);
+        known.runs = std::min(known.runs + 1, mean_runs);
         known.mean += (took - known.mean) / known.runs;
     }
 
@@ -36,7 +36,7 @@
      * target that has just started would admit every call until its first run
      * ends.
      */
-    static constexpr int unknown_part = 4;
+    static constexpr int unknown_run_divisor = 4;
 
     /**
      * @param mean mean of all runs at the target; zero before the first has
@@ -45,7 +45,7 @@
      */
     duration expected(const work_class& work, duration mean) const
     {
-        const duration guessed = work.objective / unknown_part;
+        const duration guessed = work.objective / unknown_run_divisor;
         return of(work, mean > duration::zero() ? mean : guessed);
     }
 
@@ -62,7 +62,7 @@
     struct estimate
     {
         duration mean{};
-        int runs = 0; ///< runs in the mean, at most `mean_share`
+        int runs = 0; ///< runs in the mean, at most `mean_runs`
     };
 
     std::map<work_class, estimate> m_known;
--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -11,8 +11,8 @@
 constexpr std::array<std::string_view, 5> verdict_names{
     "run", "wait", "rate_exceeded", "queue_full", "deadline_too_near"};
 
-// The newest run time has a weight of 1 / mean_share in the mean.
-constexpr int mean_share = 32;
+// The newest run time has a weight of 1 / mean_runs in the mean.
+constexpr int mean_runs = 32;
 constexpr double least_burst = 1;
 // One grant in this many goes to the next rank that waits, which so gets a
 // fifth of the slots.
@@ -20,7 +20,7 @@
 // The rate limit's burst, as seconds of its rate.
 constexpr double burst_seconds = 0.1;
 
-token_bucket bucket_for(double per_second)
+token_bucket make_bucket(double per_second)
 {
     return {per_second, std::max(least_burst, per_second * burst_seconds)};
 }
@@ -34,14 +34,14 @@
 
 admission::admission(admission_limits limits)
     : m_limits(limits)
-    , m_rate(bucket_for(limits.rate_per_s))
+    , m_rate(make_bucket(limits.rate_per_s))
 {
 }
 
 void admission::set_limits(const admission_limits& limits)
 {
     if (limits.rate_per_s != m_limits.rate_per_s)
-        m_rate = bucket_for(limits.rate_per_s);
+        m_rate = make_bucket(limits.rate_per_s);
     m_limits = limits;
 }
 
@@ -108,7 +108,7 @@
     --m_in_flight;
     // The first runs have equal weights: a mean that grows from zero would make
     // a target that has just started seem the fastest.
-    m_runs_counted = std::min(m_runs_counted + 1, mean_share);
+    m_runs_counted = std::min(m_runs_counted + 1, mean_runs);
     m_mean_run += (took - m_mean_run) / m_runs_counted;
     grant_free_slots(now);
 }
--- a/tests/unit/first_calls.cpp
+++ b/tests/unit/first_calls.cpp
@@ -29,13 +29,13 @@
 };
 
 /** Simulates a target with slots and a queue, and calls at random times. */
-class played_start
+class simulated_start
 {
 public:
-    played_start(std::uint64_t seed, bool guesses)
+    simulated_start(std::uint64_t seed, bool has_default)
         : m_random(seed)
-        , m_guesses(guesses)
-        , m_places(limits())
+        , m_has_default(has_default)
+        , m_admission(limits())
     {
     }
 
@@ -53,7 +53,7 @@
 private:
     struct call
     {
-        int come = 0;
+        int arrived_at = 0;
         int ends = 0;
         bool runs = false;
         admission_waiter waiter;
@@ -75,25 +75,26 @@
 
     duration expected() const
     {
-        return m_guesses ? m_estimates.expected(work, m_places.mean_run())
-                         : m_estimates.of(work, duration::zero());
+        return m_has_default
+                   ? m_estimates.expected(work, m_admission.mean_run())
+                   : m_estimates.of(work, duration::zero());
     }
 
     void arrive()
     {
         ++m_seen.calls;
         const auto due = at() + work.objective;
-        const auto verdict =
-            m_places.arrive(at(), {.deadline = at() + std::chrono::seconds(2),
-                                   .rank = work.rank,
-                                   .due = due,
-                                   .most_wait = work.objective / 16,
-                                   .run = expected()});
+        const auto verdict = m_admission.arrive(
+            at(), {.deadline = at() + std::chrono::seconds(2),
+                   .rank = work.rank,
+                   .due = due,
+                   .most_wait = work.objective / 16,
+                   .run = expected()});
         if (verdict != admission_verdict::run &&
             verdict != admission_verdict::wait)
             return;
         auto& made = m_calls.emplace_back();
-        made.come = m_now;
+        made.arrived_at = m_now;
         if (verdict == admission_verdict::run)
             return start(made);
         made.waiter.rank = work.rank;
@@ -105,7 +106,7 @@
             if (made.waiter.granted)
                 start(made);
         };
-        m_places.enqueue(made.waiter);
+        m_admission.enqueue(made.waiter);
     }
 
     void start(call& of)
@@ -124,19 +125,20 @@
             each.runs = false;
             const auto took = milliseconds(cold_run_ms);
             m_estimates.ran(work, took);
-            const bool in_time = m_now - each.come <= work.objective.count();
+            const bool in_time =
+                m_now - each.arrived_at <= work.objective.count();
             ++(in_time ? m_seen.in_time : m_seen.late);
-            m_places.leave(at(), took);
+            m_admission.leave(at(), took);
         }
     }
 
     random_source m_random;
-    bool m_guesses;
+    bool m_has_default;
     run_estimates m_estimates;
     std::list<call> m_calls;
     int m_now = 0;
     outcome m_seen;
-    admission m_places;
+    admission m_admission;
 };
 
 } // namespace
@@ -151,10 +153,11 @@
     outcome now;
     for (std::uint64_t seed = 1; seed <= 40; ++seed)
     {
-        for (const bool guesses : {false, true})
+        for (const bool has_default : {false, true})
         {
-            const auto seen = played_start(seed, guesses).play(per_s, span_ms);
-            auto& sum = guesses ? now : before;
+            const auto seen =
+                simulated_start(seed, has_default).play(per_s, span_ms);
+            auto& sum = has_default ? now : before;
             sum.in_time += seen.in_time;
             sum.late += seen.late;
         }
--- a/tests/unit/limits.cpp
+++ b/tests/unit/limits.cpp
@@ -100,7 +100,7 @@
            std::int64_t slots,
            std::int64_t queue)
 {
-    admission places({slots, queue, milliseconds(100), 0});
+    admission limiter({slots, queue, milliseconds(100), 0});
     std::list<admission_waiter> waiting;
     time_point now = steady_clock::now();
     std::int64_t running = 0;
@@ -111,7 +111,7 @@
         if (arrives)
         {
             const auto verdict =
-                places.arrive(now, {.deadline = now + seconds(10)});
+                limiter.arrive(now, {.deadline = now + seconds(10)});
             if (verdict == admission_verdict::run)
                 ++running;
             if (verdict == admission_verdict::wait)
@@ -120,22 +120,22 @@
                 waiter.caller = "c" + std::to_string(caller % 3);
                 waiter.deadline = now + seconds(10);
                 waiter.wake = [&] { ++woken; };
-                places.enqueue(waiter);
+                limiter.enqueue(waiter);
             }
         }
         else if (running > 0)
         {
             woken = 0;
-            places.leave(now, milliseconds(1));
+            limiter.leave(now, milliseconds(1));
             running += woken - 1;
             waiting.remove_if([](const admission_waiter& each)
                               { return each.granted; });
         }
-        RC_ASSERT(places.in_flight() == running);
+        RC_ASSERT(limiter.in_flight() == running);
         RC_ASSERT(running <= slots);
-        RC_ASSERT(places.waiting() <= queue);
+        RC_ASSERT(limiter.waiting() <= queue);
         // No slot is free while a call waits.
-        RC_ASSERT(running == slots || places.waiting() == 0);
+        RC_ASSERT(running == slots || limiter.waiting() == 0);
     }
 }
 
@@ -149,9 +149,9 @@
 
 TEST_CASE("calling services get the slots of a full target in turn")
 {
-    admission places({1, 100, seconds(10), 0});
+    admission limiter({1, 100, seconds(10), 0});
     const auto now = steady_clock::now();
-    CHECK(places.arrive(now, {.deadline = now + seconds(9)}) ==
+    CHECK(limiter.arrive(now, {.deadline = now + seconds(9)}) ==
           admission_verdict::run);
     std::list<admission_waiter> waiting;
     std::vector<std::string> served;
@@ -161,60 +161,60 @@
         waiter.caller = caller;
         waiter.deadline = now + seconds(9);
         waiter.wake = [&served, caller] { served.push_back(caller); };
-        places.enqueue(waiter);
+        limiter.enqueue(waiter);
     };
     for (int i = 0; i < 10; ++i)
         wait_as("greedy");
     wait_as("modest");
     for (int i = 0; i < 4; ++i)
-        places.leave(now, milliseconds(1));
+        limiter.leave(now, milliseconds(1));
     CHECK(std::ranges::count(served, "modest") == 1);
     waiting.clear();
 }
 
 TEST_CASE("a call that cannot finish before its deadline is refused")
 {
-    admission places({1, 10, seconds(1), 0});
+    admission limiter({1, 10, seconds(1), 0});
     const auto now = steady_clock::now();
     for (int i = 0; i < 200; ++i)
     {
-        places.arrive(now, {.deadline = now + seconds(9)});
-        places.leave(now, milliseconds(100));
+        limiter.arrive(now, {.deadline = now + seconds(9)});
+        limiter.leave(now, milliseconds(100));
     }
-    CHECK(places.arrive(now, {.deadline = now + milliseconds(20)}) ==
+    CHECK(limiter.arrive(now, {.deadline = now + milliseconds(20)}) ==
           admission_verdict::deadline_too_near);
-    CHECK(places.arrive(now, {.deadline = now + milliseconds(500)}) ==
+    CHECK(limiter.arrive(now, {.deadline = now + milliseconds(500)}) ==
           admission_verdict::run);
 }
 
 TEST_CASE("new limits do not affect running calls")
 {
-    admission places({4, 0, seconds(1), 0});
+    admission limiter({4, 0, seconds(1), 0});
     const auto now = steady_clock::now();
     for (int i = 0; i < 4; ++i)
-        CHECK(places.arrive(now, {.deadline = now + seconds(9)}) ==
+        CHECK(limiter.arrive(now, {.deadline = now + seconds(9)}) ==
               admission_verdict::run);
-    places.set_limits({1, 0, seconds(1), 0});
-    CHECK(places.in_flight() == 4);
+    limiter.set_limits({1, 0, seconds(1), 0});
+    CHECK(limiter.in_flight() == 4);
     for (int i = 0; i < 3; ++i)
-        places.leave(now, milliseconds(1));
-    CHECK(places.arrive(now, {.deadline = now + seconds(9)}) ==
+        limiter.leave(now, milliseconds(1));
+    CHECK(limiter.arrive(now, {.deadline = now + seconds(9)}) ==
           admission_verdict::queue_full);
-    places.leave(now, milliseconds(1));
-    CHECK(places.arrive(now, {.deadline = now + seconds(9)}) ==
+    limiter.leave(now, milliseconds(1));
+    CHECK(limiter.arrive(now, {.deadline = now + seconds(9)}) ==
           admission_verdict::run);
 }
 
 TEST_CASE("calls above the rate limit are refused")
 {
-    admission places({100, 0, seconds(1), 10});
+    admission limiter({100, 0, seconds(1), 10});
     const auto now = steady_clock::now();
-    CHECK(places.arrive(now, {.deadline = now + seconds(9)}) ==
+    CHECK(limiter.arrive(now, {.deadline = now + seconds(9)}) ==
           admission_verdict::run);
-    CHECK(places.arrive(now, {.deadline = now + seconds(9)}) ==
+    CHECK(limiter.arrive(now, {.deadline = now + seconds(9)}) ==
           admission_verdict::rate_exceeded);
-    CHECK(places.arrive(now + milliseconds(150),
-                        {.deadline = now + seconds(9)}) ==
+    CHECK(limiter.arrive(now + milliseconds(150),
+                         {.deadline = now + seconds(9)}) ==
           admission_verdict::run);
 }
 
@@ -224,11 +224,11 @@
 /** Fills the only slot and queues calls with given ranks and due times. */
 struct queue_under_test
 {
-    admission places{{1, 64, seconds(60), 0}};
+    admission limiter{{1, 64, seconds(60), 0}};
     std::list<admission_waiter> waiters;
     time_point now = steady_clock::now();
 
-    queue_under_test() { places.arrive(now, {.deadline = now + seconds(9)}); }
+    queue_under_test() { limiter.arrive(now, {.deadline = now + seconds(9)}); }
 
     admission_waiter& add(std::uint32_t rank, milliseconds due)
     {
@@ -237,7 +237,7 @@
         waiter.due = now + due;
         waiter.deadline = now + seconds(9);
         waiter.wake = [] {};
-        places.enqueue(waiter);
+        limiter.enqueue(waiter);
         return waiter;
     }
 
@@ -247,7 +247,7 @@
      */
     bool next_is(const admission_waiter& waiter)
     {
-        places.leave(now, milliseconds(1));
+        limiter.leave(now, milliseconds(1));
         return waiter.granted;
     }
 };
@@ -275,7 +275,7 @@
     for (int i = 0; i < 100; ++i)
         low.push_back(&queue.add(1, milliseconds(100)));
     for (int i = 0; i < 50; ++i)
-        queue.places.leave(queue.now, milliseconds(1));
+        queue.limiter.leave(queue.now, milliseconds(1));
     const auto served = std::ranges::count_if(
         low, [](const admission_waiter* each) { return each->granted; });
     CHECK(served == 10);
@@ -286,15 +286,15 @@
     queue_under_test queue;
     for (int i = 0; i < 200; ++i)
     {
-        queue.places.leave(queue.now, milliseconds(100)); // the mean run
-        queue.places.arrive(queue.now, {.deadline = queue.now + seconds(9)});
+        queue.limiter.leave(queue.now, milliseconds(100)); // the mean run
+        queue.limiter.arrive(queue.now, {.deadline = queue.now + seconds(9)});
     }
-    CHECK(queue.places.arrive(queue.now, {.deadline = queue.now + seconds(9),
-                                          .most_wait = milliseconds(150)}) ==
+    CHECK(queue.limiter.arrive(queue.now, {.deadline = queue.now + seconds(9),
+                                           .most_wait = milliseconds(150)}) ==
           admission_verdict::wait);
     queue.add(0, milliseconds(100));
-    CHECK(queue.places.arrive(queue.now, {.deadline = queue.now + seconds(9),
-                                          .most_wait = milliseconds(150)}) ==
+    CHECK(queue.limiter.arrive(queue.now, {.deadline = queue.now + seconds(9),
+                                           .most_wait = milliseconds(150)}) ==
           admission_verdict::queue_full);
     queue.waiters.clear();
 }
@@ -304,15 +304,15 @@
     queue_under_test queue;
     for (int i = 0; i < 200; ++i)
     {
-        queue.places.leave(queue.now, milliseconds(100)); // the mean run
-        queue.places.arrive(queue.now, {.deadline = queue.now + seconds(9)});
+        queue.limiter.leave(queue.now, milliseconds(100)); // the mean run
+        queue.limiter.arrive(queue.now, {.deadline = queue.now + seconds(9)});
     }
     auto& later = queue.add(1, milliseconds(500));
     later.run = milliseconds(80);
     auto& sooner = queue.add(1, milliseconds(50));
     sooner.run = milliseconds(16);
     const auto wait = [&](std::uint32_t rank, milliseconds due)
-    { return queue.places.expected_wait(rank, queue.now + due); };
+    { return queue.limiter.expected_wait(rank, queue.now + due); };
     const auto near = [](duration given, milliseconds meant) {
         return given > meant - milliseconds(1) &&
                given < meant + milliseconds(1);
