--- a/include/tillerhall/routing/answer_backlog.hpp
+++ b/include/tillerhall/routing/answer_backlog.hpp
@@ -28,13 +28,13 @@
      * vary by about half of their means, and the link of the other host and of
      * the client take time, too.
      */
-    static constexpr int spare_part = 4;
+    static constexpr int reserve_divisor = 4;
     /**
      * A call that would be late in any case is still taken while its answer
      * waits for no more than this fraction of the objective; a longer wait
      * would make other answers late.
      */
-    static constexpr int late_part = 8;
+    static constexpr int late_wait_divisor = 8;
 
     /** @return the time from the end of the run until the answer has left. */
     duration wait() const
@@ -46,10 +46,10 @@
     /** @return true if the call should be refused. */
     bool is_too_long() const
     {
-        const auto in_time = objective - objective / spare_part;
+        const auto in_time = objective - objective / reserve_divisor;
         if (elapsed + run + wait() <= in_time)
             return false;
-        return wait() - own > objective / late_part;
+        return wait() - own > objective / late_wait_divisor;
     }
 };
 
--- a/include/tillerhall/routing/failure_shedder.hpp
+++ b/include/tillerhall/routing/failure_shedder.hpp
@@ -27,7 +27,7 @@
 {
 public:
     /** Share of failed runs that is taken to be chance. */
-    static constexpr double free_share = 0.15;
+    static constexpr double chance_share = 0.15;
     /** Upper limit of the shed share; beyond it the load is not the cause. */
     static constexpr double most_shed = 0.5;
     /** The counts cover the current span and the one before it. */
@@ -44,11 +44,11 @@
     }
 
     /** Counts a call of this host that got no answer. */
-    void call_failed(bool for_want_of_room, time_point now)
+    void call_failed(bool is_capacity_lacking, time_point now)
     {
         auto& counted = m_counts.newest(now);
         counted.calls_failed += 1;
-        counted.found_no_room += for_want_of_room ? 1 : 0;
+        counted.lacked_capacity += is_capacity_lacking ? 1 : 0;
     }
 
     /** @return the share of calls to shed at @p now. */
@@ -60,9 +60,9 @@
         const double failed = newest.failed + before.failed;
         const double failing = failed / std::max(least_runs, runs);
         const double calls = newest.calls_failed + before.calls_failed;
-        const double no_room = newest.found_no_room + before.found_no_room;
-        const double by_load = no_room / std::max(1.0, calls);
-        return std::clamp((failing - free_share) * by_load, 0.0, most_shed);
+        const double lacking = newest.lacked_capacity + before.lacked_capacity;
+        const double by_load = lacking / std::max(1.0, calls);
+        return std::clamp((failing - chance_share) * by_load, 0.0, most_shed);
     }
 
     /**
@@ -77,7 +77,7 @@
         double runs = 0;
         double failed = 0;
         double calls_failed = 0;
-        double found_no_room = 0;
+        double lacked_capacity = 0;
     };
 
     recent_window<counts> m_counts{span};
--- a/include/tillerhall/routing/objectives_in_use.hpp
+++ b/include/tillerhall/routing/objectives_in_use.hpp
@@ -21,7 +21,7 @@
      * An objective is short up to this share of the longest one in use. Calls
      * between targets usually lie below it, calls of clients above.
      */
-    static constexpr double short_part = 0.45;
+    static constexpr double short_share = 0.45;
     /** An objective is in use if at least this share of the calls has it. */
     static constexpr double least_share = 0.02;
     /** When this many calls are counted, all counts are halved. */
@@ -52,7 +52,7 @@
     bool is_short(milliseconds objective) const
     {
         return static_cast<double>(objective.count()) <=
-               short_part * static_cast<double>(longest().count());
+               short_share * static_cast<double>(longest().count());
     }
 
 private:
--- a/include/tillerhall/routing/suspect_calls.hpp
+++ b/include/tillerhall/routing/suspect_calls.hpp
@@ -21,10 +21,10 @@
 /** The quarantine of a poison call. */
 struct call_hold
 {
-    milliseconds left{};      ///< until it may be probed; 0: now
-    milliseconds since_end{}; ///< since the last crash
-    std::size_t rounds = 0;   ///< of crashes; crashes close together are one
-                              ///< round
+    milliseconds left{};        ///< until it may be probed; 0: now
+    milliseconds since_crash{}; ///< since the last crash
+    std::size_t rounds = 0;     ///< of crashes; crashes close together are one
+                                ///< round
 
     /**
      * A quarantined call may run at one target of the mesh as a probe; if it
@@ -36,23 +36,23 @@
     bool may_be_tried(bool ran_well_before) const noexcept
     {
         return left == milliseconds::zero() ||
-               (ran_well_before && rounds == 1 && since_end >= first_trial);
+               (ran_well_before && rounds == 1 && since_crash >= first_probe);
     }
 
     /** Long enough for crashed targets to restart. */
-    static constexpr std::chrono::seconds first_trial{5};
+    static constexpr std::chrono::seconds first_probe{5};
 };
 
 /** The crashes under one call. */
 struct ends_under_call
 {
     /** A crash of a target while the call ran there. */
-    struct end
+    struct crash
     {
         address owner; ///< of the target
         std::uint64_t at_ms = 0;
     };
-    std::vector<end> ends;
+    std::vector<crash> ends;
 };
 
 /**
@@ -75,11 +75,11 @@
 class suspect_calls : public boost::intrusive_ref_counter<suspect_calls>
 {
 public:
-    static constexpr std::size_t ends_to_hold = 2;
+    static constexpr std::size_t crashes_to_quarantine = 2;
     /** Quarantine after the first round; doubled after each further round. */
-    static constexpr std::chrono::minutes first_hold{10};
+    static constexpr std::chrono::minutes first_quarantine{10};
     /** Upper limit of the quarantine. */
-    static constexpr std::chrono::hours longest_hold = news_kept;
+    static constexpr std::chrono::hours longest_quarantine = news_kept;
 
     suspect_calls() = default;
     explicit suspect_calls(const member_list& members);
@@ -92,12 +92,12 @@
 
     /**
      * @return the quarantine of @p call; nothing if it is not quarantined
-     * @param ended_at owners whose targets crashed under the present attempt,
+     * @param crashed_at owners whose targets crashed under the present attempt,
      * whose reports may not have arrived yet
      * @param now_ms wall clock
      */
     std::optional<call_hold> hold_of(const std::string& call,
-                                     const std::vector<address>& ended_at,
+                                     const std::vector<address>& crashed_at,
                                      std::uint64_t now_ms) const;
 
     /** @return the calls quarantined now that were not in @p before. */
--- a/include/tillerhall/routing/usual_budgets.hpp
+++ b/include/tillerhall/routing/usual_budgets.hpp
@@ -25,27 +25,27 @@
     static constexpr duration span = std::chrono::seconds(10);
 
     /**
-     * @param left remaining time of a call
+     * @param remaining time until the deadline of a call
      * @return the time since the first attempt of the call.
      */
-    duration elapsed(const work_class& work, duration left, time_point now)
+    duration elapsed(const work_class& work, duration remaining, time_point now)
     {
         auto& seen = m_seen.try_emplace(work).first->second;
         auto& newest = seen.newest(now).longest;
-        newest = std::max(newest, left);
-        return std::max(newest, seen.before(now).longest) - left;
+        newest = std::max(newest, remaining);
+        return std::max(newest, seen.before(now).longest) - remaining;
     }
 
 private:
-    struct longest_left
+    struct longest_remaining
     {
         duration longest{};
     };
 
-    struct window : recent_window<longest_left>
+    struct window : recent_window<longest_remaining>
     {
         window()
-            : recent_window<longest_left>(span)
+            : recent_window<longest_remaining>(span)
         {
         }
     };
--- a/src/routing/link_schedule.cpp
+++ b/src/routing/link_schedule.cpp
@@ -10,7 +10,7 @@
 // A late body goes after all bodies that are due within this time, so it waits
 // for them no longer than this. About the longest objective of calls with large
 // answers.
-constexpr std::chrono::seconds late_goes_behind(2);
+constexpr std::chrono::seconds late_delay(2);
 
 } // namespace
 
@@ -38,7 +38,7 @@
 void link_schedule::enqueue(link_waiter& waiter, time_point now)
 {
     if (now + time_of(waiter.bytes) > waiter.due)
-        waiter.due = now + late_goes_behind;
+        waiter.due = now + late_delay;
     const auto behind =
         std::ranges::find_if(m_waiters, [&](const link_waiter& each)
                              { return each.due > waiter.due; });
--- a/src/routing/load_inquiry.cpp
+++ b/src/routing/load_inquiry.cpp
@@ -28,10 +28,10 @@
 {
     if (owners.size() <= small_service)
         return {};
-    const auto roomy =
+    const auto with_room =
         std::ranges::count_if(owners, [](const owner_outlook& each)
                               { return each.is_known && each.has_room; });
-    if (static_cast<std::size_t>(roomy) >= enough_known)
+    if (static_cast<std::size_t>(with_room) >= enough_known)
         return {};
     std::vector<std::size_t> near;
     std::vector<std::size_t> far;
--- a/src/routing/suspect_calls.cpp
+++ b/src/routing/suspect_calls.cpp
@@ -16,7 +16,7 @@
 // Crashes further apart than this belong to different rounds.
 constexpr milliseconds round_gap(2'500);
 
-std::size_t rounds_of(const std::vector<ends_under_call::end>& in_order)
+std::size_t rounds_of(const std::vector<ends_under_call::crash>& in_order)
 {
     const auto is_apart = [](const auto& before, const auto& after)
     { return milliseconds(after.at_ms - before.at_ms) > round_gap; };
@@ -26,13 +26,14 @@
     return rounds;
 }
 
-milliseconds hold_after(std::size_t rounds)
+milliseconds quarantine_after(std::size_t rounds)
 {
     // Enough to reach the longest quarantine, and no overflow of the shift.
     constexpr std::size_t most_doublings = 10;
     const auto doublings = std::min(rounds - 1, most_doublings);
-    return std::min<milliseconds>(suspect_calls::first_hold * (1U << doublings),
-                                  suspect_calls::longest_hold);
+    return std::min<milliseconds>(suspect_calls::first_quarantine *
+                                      (1U << doublings),
+                                  suspect_calls::longest_quarantine);
 }
 
 /** @return the age of @p at_ms; zero if a remote clock is ahead. */
@@ -53,13 +54,13 @@
             until = std::max(until, run.at_ms + clock_slack_ms);
         }
     for (const auto& each : members.ordered())
-        for (const auto& end : each.record->target_ends)
-            for (const auto& call : end.calls)
+        for (const auto& crash : each.record->target_ends)
+            for (const auto& call : crash.calls)
             {
                 const auto until = cleared.find(call);
-                if (until != cleared.end() && end.at_ms <= until->second)
+                if (until != cleared.end() && crash.at_ms <= until->second)
                     continue;
-                m_calls[call].ends.push_back({each.record->rpc, end.at_ms});
+                m_calls[call].ends.push_back({each.record->rpc, crash.at_ms});
             }
 }
 
@@ -77,36 +78,36 @@
 
 std::optional<call_hold>
 suspect_calls::hold_of(const std::string& call,
-                       const std::vector<address>& ended_at,
+                       const std::vector<address>& crashed_at,
                        std::uint64_t now_ms) const
 {
     const auto* known = find(call);
     auto ends =
-        known == nullptr ? std::vector<ends_under_call::end>{} : known->ends;
+        known == nullptr ? std::vector<ends_under_call::crash>{} : known->ends;
     std::erase_if(ends, [&](const auto& each)
-                  { return age_of(each.at_ms, now_ms) > longest_hold; });
-    for (const auto& owner : ended_at)
-        if (std::ranges::find(ends, owner, &ends_under_call::end::owner) ==
+                  { return age_of(each.at_ms, now_ms) > longest_quarantine; });
+    for (const auto& owner : crashed_at)
+        if (std::ranges::find(ends, owner, &ends_under_call::crash::owner) ==
             ends.end())
             ends.push_back({owner, now_ms});
-    if (ends.size() < ends_to_hold)
+    if (ends.size() < crashes_to_quarantine)
         return std::nullopt;
-    std::ranges::sort(ends, {}, &ends_under_call::end::at_ms);
+    std::ranges::sort(ends, {}, &ends_under_call::crash::at_ms);
     const auto rounds = rounds_of(ends);
-    const auto since_end = age_of(ends.back().at_ms, now_ms);
+    const auto since_crash = age_of(ends.back().at_ms, now_ms);
     const auto left =
-        std::max(hold_after(rounds) - since_end, milliseconds::zero());
-    return call_hold{left, since_end, rounds};
+        std::max(quarantine_after(rounds) - since_crash, milliseconds::zero());
+    return call_hold{left, since_crash, rounds};
 }
 
 std::vector<std::string> suspect_calls::newly_held(const suspect_calls& before,
                                                    std::uint64_t now_ms) const
 {
-    std::vector<std::string> held;
+    std::vector<std::string> quarantined;
     for (const auto& [call, known] : m_calls)
         if (hold_of(call, {}, now_ms) && !before.hold_of(call, {}, now_ms))
-            held.push_back(call);
-    return held;
+            quarantined.push_back(call);
+    return quarantined;
 }
 
 member_ptr trial_owner(const std::vector<member_ptr>& owners,
