--- a/tests/unit/body_grants.cpp
+++ b/tests/unit/body_grants.cpp
@@ -24,14 +24,14 @@
 constexpr double bytes_per_ms = link_mbps * 125;
 constexpr std::uint64_t body_bytes = 60'000;
 constexpr double lookup_bytes = 700;
-constexpr int played_ms = 60'000;
+constexpr int simulated_ms = 60'000;
 // Time between an entry's choice of an owner and the arrival of the body. No
 // other entry sees the body until then.
 constexpr int least_unseen_ms = 5;
 constexpr int most_unseen_ms = 70;
-constexpr int way_ms = 160;
+constexpr int most_link_ms = 160;
 // An eighth of the body's objective of 800 ms.
-constexpr int patience_ms = 100;
+constexpr int most_claim_wait_ms = 100;
 
 /** Counts of bodies and short calls. */
 struct outcome
@@ -43,12 +43,12 @@
 };
 
 /** Simulates bodies and short calls to hosts whose links are FIFO queues. */
-class played_links
+class simulated_links
 {
 public:
-    played_links(std::uint64_t seed, bool with_turns)
+    simulated_links(std::uint64_t seed, bool with_slots)
         : m_random(seed)
-        , m_with_turns(with_turns)
+        , m_with_slots(with_slots)
     {
         for (std::size_t i = 0; i < hosts; ++i)
             m_grants.emplace_back(link_mbps);
@@ -56,24 +56,24 @@
 
     outcome play(double bodies_per_s, double lookups_per_s)
     {
-        for (m_now = 0; m_now < played_ms; ++m_now)
+        for (m_now = 0; m_now < simulated_ms; ++m_now)
         {
-            for (auto [from, to] = m_on_way.equal_range(m_now); from != to;
+            for (auto [from, to] = m_in_transit.equal_range(m_now); from != to;
                  ++from)
                 arrives(from->second, body_bytes);
             // A claim may be refused again and then changes the list.
             while (!m_waiting.empty() && m_waiting.begin()->first <= m_now)
                 claim(m_waiting.extract(m_waiting.begin()).mapped());
-            if (comes(bodies_per_s))
+            if (happens(bodies_per_s))
                 send_body();
-            if (comes(lookups_per_s))
+            if (happens(lookups_per_s))
                 look_up();
         }
         return m_seen;
     }
 
 private:
-    bool comes(double per_s) { return m_random.unit() < per_s / 1000; }
+    bool happens(double per_s) { return m_random.unit() < per_s / 1000; }
 
     double wait_at(std::size_t host) const
     {
@@ -103,9 +103,9 @@
             each = m_random.below(hosts);
         std::ranges::sort(asked, {},
                           [this](std::size_t host) { return wait_at(host); });
-        if (wait_at(asked[0]) + body_bytes / bytes_per_ms > way_ms)
+        if (wait_at(asked[0]) + body_bytes / bytes_per_ms > most_link_ms)
             return;
-        claim({asked, m_now + patience_ms});
+        claim({asked, m_now + most_claim_wait_ms});
     }
 
     /** A body that waits at its entry for a transfer slot. */
@@ -117,19 +117,19 @@
 
     void claim(const waiting_body& body)
     {
-        auto soonest = duration::max();
+        auto shortest = duration::max();
         for (const auto host : body.owners)
         {
-            const auto wait = m_with_turns
+            const auto wait = m_with_slots
                                   ? m_grants[host].claim(body_bytes, at())
                                   : duration::zero();
             if (wait == duration::zero())
                 return send_to(host);
-            soonest = std::min(soonest, wait);
+            shortest = std::min(shortest, wait);
         }
         const auto again =
             m_now +
-            static_cast<int>(std::chrono::ceil<milliseconds>(soonest).count());
+            static_cast<int>(std::chrono::ceil<milliseconds>(shortest).count());
         if (again <= body.until)
             m_waiting.emplace(again, body);
     }
@@ -139,7 +139,7 @@
         ++m_seen.bodies_sent;
         const auto unseen =
             least_unseen_ms + static_cast<int>(m_random.below(most_unseen_ms));
-        m_on_way.emplace(m_now + unseen, host);
+        m_in_transit.emplace(m_now + unseen, host);
     }
 
     time_point at() const
@@ -148,10 +148,10 @@
     }
 
     random_source m_random;
-    bool m_with_turns;
+    bool m_with_slots;
     std::vector<body_grants> m_grants;
     std::array<double, hosts> m_clear_at{};
-    std::multimap<int, std::size_t> m_on_way;
+    std::multimap<int, std::size_t> m_in_transit;
     std::multimap<int, waiting_body> m_waiting;
     int m_now = 0;
     outcome m_seen;
@@ -173,9 +173,9 @@
     for (std::uint64_t seed = 1; seed <= 5; ++seed)
     {
         const auto before =
-            played_links(seed, false).play(bodies_per_s, lookups_per_s);
+            simulated_links(seed, false).play(bodies_per_s, lookups_per_s);
         const auto now =
-            played_links(seed, true).play(bodies_per_s, lookups_per_s);
+            simulated_links(seed, true).play(bodies_per_s, lookups_per_s);
         INFO("late before "
              << share(before.lookups_late, before.lookups) << ", now "
              << share(now.lookups_late, now.lookups) << "; bodies sent before "
--- a/tests/unit/call_routes.cpp
+++ b/tests/unit/call_routes.cpp
@@ -32,9 +32,9 @@
 }
 
 /** The expected result of `find`, by a linear search. */
-const call_route* plain_find(const call_routes& routes,
-                             const std::string& host,
-                             const std::string& path)
+const call_route* linear_find(const call_routes& routes,
+                              const std::string& host,
+                              const std::string& path)
 {
     const call_route* best = nullptr;
     for (const auto& each : routes.routes())
@@ -79,7 +79,7 @@
                  const auto routes = built(list);
                  const auto path = random_path(5) + "leaf";
                  RC_ASSERT(routes->find("h0", path) ==
-                           plain_find(*routes, "h0", path));
+                           linear_find(*routes, "h0", path));
              });
 }
 
--- a/tests/unit/claims.cpp
+++ b/tests/unit/claims.cpp
@@ -47,28 +47,28 @@
         [](const std::vector<std::pair<bool, unsigned char>>& steps)
         {
             item_store store;
-            std::array<claim_shard, 2> keepers{claim_shard(3), claim_shard(3)};
+            std::array<claim_shard, 2> writers{claim_shard(3), claim_shard(3)};
             std::set<std::string> granted;
             std::int64_t minute = 100;
             std::uint64_t nonce = 0;
             for (const auto& [second, pick] : steps)
             {
-                auto& keeper = keepers[second ? 1 : 0];
+                auto& writer = writers[second ? 1 : 0];
                 const auto key = "k" + std::to_string(pick % 7);
                 minute += pick % 5 == 0 ? 1 : 0;
                 RC_PRE(minute < 100 + claim_shard::kept_minutes);
-                if (keeper.find(key, minute) != nullptr)
+                if (writer.find(key, minute) != nullptr)
                     continue;
-                keeper.put({key, "b", ++nonce, claim_state::running}, minute);
+                writer.put({key, "b", ++nonce, claim_state::running}, minute);
                 table_transaction transaction;
-                keeper.add_to(transaction);
+                writer.add_to(transaction);
                 if (store.transact(transaction))
                 {
-                    keeper.stored(store.revision);
+                    writer.stored(store.revision);
                     RC_ASSERT(granted.insert(key).second);
                 }
                 else
-                    RC_ASSERT(keeper.load(store.list()));
+                    RC_ASSERT(writer.load(store.list()));
             }
         });
 }
--- a/tests/unit/client_accounts.cpp
+++ b/tests/unit/client_accounts.cpp
@@ -75,12 +75,12 @@
 TEST_CASE(
     "an invalid account makes the whole version invalid; the error names why")
 {
-    struct odd_accounts
+    struct invalid_accounts
     {
         const char* named;
         std::vector<account_entry> entries;
     };
-    const std::vector<odd_accounts> table{
+    const std::vector<invalid_accounts> table{
         {"no name", {entry_of("", {"k"})}},
         {"twice", {entry_of("a", {"k"}), entry_of("a", {"l"})}},
         {"another account", {entry_of("a", {"k"}), entry_of("b", {"k"})}},
@@ -100,14 +100,14 @@
     using standing = caller_standing;
     const auto routes =
         routes_with(*client_accounts::build({entry_of("bakkerij", {"k1"})}));
-    struct played_call
+    struct test_call
     {
         const char* path;
         std::vector<std::string> fields;
         caller_evidence evidence;
         standing expected;
     };
-    const std::vector<played_call> table{
+    const std::vector<test_call> table{
         {"/closed/x", {"Bearer k1"}, {}, standing::account},
         {"/closed/x", {"bearer k1"}, {}, standing::account},
         {"/open/x", {"Bearer k1"}, {}, standing::account},
--- a/tests/unit/domain_drains.cpp
+++ b/tests/unit/domain_drains.cpp
@@ -44,10 +44,10 @@
 
 TEST_CASE("a routes update contains the drained domains")
 {
-    routes_word word;
-    word.reader = "127.0.0.1:1";
-    word.drained = {"a", "b"};
-    CHECK(routes_word_from_json(to_json(word)).drained == word.drained);
-    word.drained.clear();
-    CHECK(routes_word_from_json(to_json(word)).drained.empty());
+    routes_word update;
+    update.reader = "127.0.0.1:1";
+    update.drained = {"a", "b"};
+    CHECK(routes_word_from_json(to_json(update)).drained == update.drained);
+    update.drained.clear();
+    CHECK(routes_word_from_json(to_json(update)).drained.empty());
 }
--- a/tests/unit/link_schedule.cpp
+++ b/tests/unit/link_schedule.cpp
@@ -20,7 +20,7 @@
 constexpr std::uint64_t answer = 90'000;
 
 /** Waiting bodies and the order in which they were sent. */
-struct played_link
+struct simulated_link
 {
     void enqueue(int name, std::uint64_t bytes, time_point due, time_point now)
     {
@@ -66,7 +66,7 @@
 
 TEST_CASE("bodies go in order of their due times, late ones last")
 {
-    played_link link;
+    simulated_link link;
     const auto now = time_point{} + std::chrono::hours(1);
     link.schedule.sent(answer, now);
     link.enqueue(1, answer, now + milliseconds(1'900), now);
@@ -82,7 +82,7 @@
 TEST_CASE(
     "a late body is sent within two seconds, however many others are in time")
 {
-    played_link link;
+    simulated_link link;
     const auto begin = time_point{} + std::chrono::hours(1);
     link.schedule.sent(answer, begin);
     link.enqueue(0, answer, begin - milliseconds(5), begin);
@@ -100,7 +100,7 @@
 
 TEST_CASE("a body is not sent before the link has carried those ahead of it")
 {
-    played_link link;
+    simulated_link link;
     const auto now = time_point{} + std::chrono::hours(1);
     link.schedule.sent(2 * answer, now);
     link.enqueue(1, answer, now + std::chrono::seconds(1), now);
@@ -114,7 +114,7 @@
     "of ten answers ready at once the mean one arrives sooner than together, "
     "and short messages wait for at most one of them")
 {
-    played_link link;
+    simulated_link link;
     const auto now = time_point{} + std::chrono::hours(1);
     link.schedule.sent(answer, now);
     for (int i = 1; i < 10; ++i)
@@ -167,7 +167,7 @@
 /**
  * Simulates clients that call @p per_s times a second for 20 s and retry twice.
  */
-outcome play_downloads(double per_s, bool refuses)
+outcome simulate_downloads(double per_s, bool refuses)
 {
     random_source random(7);
     link_schedule link(mbps);
@@ -242,17 +242,17 @@
 TEST_CASE("under overload of a link most downloads that run are in time")
 {
     // 18.75 answers of 90 KB a second use nine tenths of 15 Mbit/s.
-    const auto refusing = play_downloads(28, true);
-    const auto taking_all = play_downloads(28, false);
+    const auto refusing = simulate_downloads(28, true);
+    const auto accepting_all = simulate_downloads(28, false);
     CAPTURE(refusing.in_time, refusing.late, refusing.refused);
-    CAPTURE(taking_all.in_time, taking_all.late, taking_all.refused);
+    CAPTURE(accepting_all.in_time, accepting_all.late, accepting_all.refused);
     CHECK(refusing.in_time > 2 * refusing.late);
-    CHECK(refusing.worth() > 1.2 * taking_all.worth());
+    CHECK(refusing.worth() > 1.2 * accepting_all.worth());
 }
 
 TEST_CASE("without overload of a link no download is refused")
 {
-    const auto seen = play_downloads(10, true);
+    const auto seen = simulate_downloads(10, true);
     CHECK(seen.refused == 0);
     CHECK(seen.late * 50 < seen.in_time);
 }
--- a/tests/unit/reported_crashes.hpp
+++ b/tests/unit/reported_crashes.hpp
@@ -19,8 +19,8 @@
     return made;
 }
 
-inline target_end end_of(const std::vector<std::string>& calls,
-                         std::uint64_t at_ms = now_ms)
+inline target_end crash_of(const std::vector<std::string>& calls,
+                           std::uint64_t at_ms = now_ms)
 {
     return {"t-" + std::to_string(at_ms), at_ms, calls};
 }
@@ -28,23 +28,23 @@
 /**
  * A member list in which each owner reports the crashes and runs it is given.
  */
-struct told_ends
+struct reported_crashes
 {
-    explicit told_ends(std::uint16_t owners)
+    explicit reported_crashes(std::uint16_t owners)
         : members(owner_at(1))
     {
         for (std::uint16_t port = 2; port <= owners; ++port)
             members.merge(owner_at(port));
     }
 
-    void tell(std::uint16_t port, const target_end& end)
+    void report(std::uint16_t port, const target_end& end)
     {
         auto changed = *members.find({"127.0.0.1", port});
         add_target_ends(changed, {end});
         take(changed);
     }
 
-    void tell(std::uint16_t port, const good_run& run)
+    void report(std::uint16_t port, const good_run& run)
     {
         auto changed = *members.find({"127.0.0.1", port});
         add_good_runs(changed, {run});
--- a/tests/unit/simulated_crashes.cpp
+++ b/tests/unit/simulated_crashes.cpp
@@ -2,7 +2,7 @@
  * @file Simulation of a call that crashes its targets, and its effect on other
  * calls.
  */
-#include "told_ends.hpp"
+#include "reported_crashes.hpp"
 
 #include "tillerhall/core/digest.hpp"
 #include "tillerhall/core/random.hpp"
@@ -24,10 +24,10 @@
  * everywhere. Targets also crash for other reasons. A step is 10 ms, a run
  * takes 12 steps; other members learn of crashes and runs 3 steps later.
  */
-class played_service
+class simulated_service
 {
 public:
-    explicit played_service(std::uint64_t seed)
+    explicit simulated_service(std::uint64_t seed)
         : m_random(seed)
         , m_mesh(target_count)
     {
@@ -37,38 +37,38 @@
     {
         for (m_step = 0; m_step < steps; ++m_step)
         {
-            take_news();
+            take_updates();
             if (m_step > warm_steps)
-                end_for_own_reasons();
+                crash_for_other_reasons();
             finish_runs();
             for (int i = 0; i < 4; ++i)
                 send(next_call(), {});
             if (m_step > warm_steps && m_step % 8 == 0)
-                send(ending_call, {});
+                send(poison_call, {});
         }
     }
 
-    int ends_under_the_call = 0;
+    int crashes_under_the_call = 0;
     int innocent_calls = 0;
-    std::set<std::string> innocents_held;
-    int popular_held = 0;
+    std::set<std::string> innocents_quarantined;
+    int popular_quarantined = 0;
 
 private:
     static constexpr std::uint16_t target_count = 6;
-    static constexpr std::size_t places = 12;
+    static constexpr std::size_t slots = 12;
     static constexpr int run_steps = 12;
     static constexpr int down_steps = 250;
-    static constexpr int news_steps = 3;
+    static constexpr int update_steps = 3;
     static constexpr int warm_steps = 400;
-    static constexpr std::size_t most_sends = 2;
-    static constexpr const char* ending_call = "ending";
+    static constexpr std::size_t most_attempts = 2;
+    static constexpr const char* poison_call = "ending";
 
     struct run
     {
         std::string call;
-        std::vector<address> ended_at;
+        std::vector<address> crashed_at;
         int ends_at = 0;
-        bool is_trial = false;
+        bool is_probe = false;
     };
     struct target
     {
@@ -76,11 +76,11 @@
         std::set<std::string> ran_well;
         int down_until = 0;
     };
-    struct news
+    struct update
     {
         int known_at = 0;
         std::uint16_t port = 0;
-        std::optional<target_end> end;
+        std::optional<target_end> crash;
         std::optional<good_run> run;
     };
 
@@ -98,56 +98,56 @@
         return now_ms + static_cast<std::uint64_t>(m_step) * 10;
     }
 
-    void take_news()
+    void take_updates()
     {
-        while (!m_news.empty() && m_news.front().known_at <= m_step)
+        while (!m_updates.empty() && m_updates.front().known_at <= m_step)
         {
-            const auto& told = m_news.front();
-            if (told.end)
-                m_mesh.tell(told.port, *told.end);
+            const auto& received = m_updates.front();
+            if (received.crash)
+                m_mesh.report(received.port, *received.crash);
             else
-                m_mesh.tell(told.port, *told.run);
-            m_news.pop_front();
+                m_mesh.report(received.port, *received.run);
+            m_updates.pop_front();
         }
         m_view = suspect_calls_ptr(new suspect_calls(m_mesh.members));
     }
 
-    void send(const std::string& call, const std::vector<address>& ended_at)
+    void send(const std::string& call, const std::vector<address>& crashed_at)
     {
-        if (const auto hold = m_view->hold_of(call, ended_at, clock()))
+        if (const auto quarantine = m_view->hold_of(call, crashed_at, clock()))
         {
-            if (hold->may_be_tried(m_answered.contains(call)))
-                return try_alone(call);
-            return ended_at.empty() ? note_held(call) : void();
+            if (quarantine->may_be_tried(m_answered.contains(call)))
+                return probe(call);
+            return crashed_at.empty() ? note_quarantined(call) : void();
         }
         std::vector<std::size_t> open;
         for (std::size_t i = 0; i < m_targets.size(); ++i)
             if (m_step >= m_targets[i].down_until &&
-                m_targets[i].runs.size() < places)
+                m_targets[i].runs.size() < slots)
                 open.push_back(i);
         if (open.empty())
             return;
         auto& chosen = m_targets[open[m_random.below(open.size())]];
-        chosen.runs.push_back({call, ended_at, m_step + run_steps});
+        chosen.runs.push_back({call, crashed_at, m_step + run_steps});
     }
 
     /** Probes a call: only at the selected owner, one probe at a time. */
-    void try_alone(const std::string& call)
+    void probe(const std::string& call)
     {
         auto& chosen = m_targets[stable_hash(call) % m_targets.size()];
-        const bool is_tried =
+        const bool is_probed =
             std::ranges::find(chosen.runs, call, &run::call) !=
             chosen.runs.end();
-        if (m_step < chosen.down_until || is_tried)
-            return note_held(call);
+        if (m_step < chosen.down_until || is_probed)
+            return note_quarantined(call);
         chosen.runs.push_back({call, {}, m_step + run_steps, true});
     }
 
-    void note_held(const std::string& call)
+    void note_quarantined(const std::string& call)
     {
         if (call.starts_with("once"))
-            innocents_held.insert(call);
-        popular_held += call.starts_with("popular") ? 1 : 0;
+            innocents_quarantined.insert(call);
+        popular_quarantined += call.starts_with("popular") ? 1 : 0;
     }
 
     void finish_runs()
@@ -159,10 +159,10 @@
             { return each.ends_at <= m_step; };
             if (std::ranges::any_of(
                     at.runs, [&](const run& each)
-                    { return done(each) && each.call == ending_call; }))
+                    { return done(each) && each.call == poison_call; }))
             {
-                ++ends_under_the_call;
-                end(i);
+                ++crashes_under_the_call;
+                crash(i);
                 continue;
             }
             for (const auto& each : at.runs)
@@ -177,30 +177,30 @@
         const auto& call = done.call;
         m_answered.insert(call);
         const bool again = !m_targets[index].ran_well.insert(call).second;
-        if ((again || done.is_trial) && m_view->find(call) != nullptr)
-            m_news.push_back({m_step + news_steps,
-                              static_cast<std::uint16_t>(index + 1),
-                              {},
-                              good_run{call, clock()}});
+        if ((again || done.is_probe) && m_view->find(call) != nullptr)
+            m_updates.push_back({m_step + update_steps,
+                                 static_cast<std::uint16_t>(index + 1),
+                                 {},
+                                 good_run{call, clock()}});
     }
 
-    void end_for_own_reasons()
+    void crash_for_other_reasons()
     {
         for (std::size_t i = 0; i < m_targets.size(); ++i)
             if (m_step >= m_targets[i].down_until && chance(0.0005))
-                end(i);
+                crash(i);
     }
 
-    void end(std::size_t index)
+    void crash(std::size_t index)
     {
         auto& at = m_targets[index];
         const auto port = static_cast<std::uint16_t>(index + 1);
         const address owner{"127.0.0.1", port};
-        news told{m_step + news_steps, port, end_of({}, clock()), {}};
+        update received{m_step + update_steps, port, crash_of({}, clock()), {}};
         for (const auto& each : at.runs)
             if (!at.ran_well.contains(each.call))
-                told.end->calls.push_back(each.call);
-        m_news.push_back(told);
+                received.crash->calls.push_back(each.call);
+        m_updates.push_back(received);
         auto gone = std::exchange(at, {});
         at.ran_well = gone.ran_well;
         for (const auto& each : gone.runs)
@@ -208,18 +208,18 @@
         at.down_until = m_step + down_steps;
         for (auto each : gone.runs)
         {
-            each.ended_at.push_back(owner);
-            if (each.ended_at.size() < most_sends ||
-                m_view->hold_of(each.call, each.ended_at, clock()))
-                send(each.call, each.ended_at);
+            each.crashed_at.push_back(owner);
+            if (each.crashed_at.size() < most_attempts ||
+                m_view->hold_of(each.call, each.crashed_at, clock()))
+                send(each.call, each.crashed_at);
         }
     }
 
     random_source m_random;
-    told_ends m_mesh;
+    reported_crashes m_mesh;
     suspect_calls_ptr m_view{new suspect_calls};
     std::array<target, target_count> m_targets;
-    std::deque<news> m_news;
+    std::deque<update> m_updates;
     std::set<std::string> m_answered;
     int m_step = 0;
 };
@@ -229,27 +229,28 @@
 TEST_CASE(
     "in 1,000 simulations the poison call is quarantined and few others are")
 {
-    int ends = 0;
-    int most_ends = 0;
+    int crashes = 0;
+    int most_crashes = 0;
     std::size_t calls = 0;
-    std::size_t held = 0;
-    int popular_held = 0;
+    std::size_t quarantined = 0;
+    int popular_quarantined = 0;
     for (std::uint64_t seed = 0; seed < 1000; ++seed)
     {
-        played_service day(seed);
-        day.play(900);
-        ends += day.ends_under_the_call;
-        most_ends = std::max(most_ends, day.ends_under_the_call);
-        calls += static_cast<std::size_t>(day.innocent_calls);
-        held += day.innocents_held.size();
-        popular_held += day.popular_held;
+        simulated_service simulation(seed);
+        simulation.play(900);
+        crashes += simulation.crashes_under_the_call;
+        most_crashes =
+            std::max(most_crashes, simulation.crashes_under_the_call);
+        calls += static_cast<std::size_t>(simulation.innocent_calls);
+        quarantined += simulation.innocents_quarantined.size();
+        popular_quarantined += simulation.popular_quarantined;
     }
-    CAPTURE(ends, most_ends, calls, held, popular_held);
+    CAPTURE(crashes, most_crashes, calls, quarantined, popular_quarantined);
     // Two of its attempts may run at once, and each may crash two targets.
-    CHECK(most_ends <= 4);
+    CHECK(most_crashes <= 4);
     // Calls that are made once are not retried here, so this only shows that
     // first attempts are admitted.
-    CHECK(held == 0);
+    CHECK(quarantined == 0);
     // Popular calls are cleared by their successful runs.
-    CHECK(popular_held < 60);
+    CHECK(popular_quarantined < 60);
 }
--- a/tests/unit/suspect_calls.cpp
+++ b/tests/unit/suspect_calls.cpp
@@ -1,5 +1,5 @@
 /** @file Quarantine of calls under which targets crashed. */
-#include "told_ends.hpp"
+#include "reported_crashes.hpp"
 
 #include "tillerhall/core/random.hpp"
 #include "tillerhall/proxy/recent_runs.hpp"
@@ -13,13 +13,13 @@
 
 TEST_CASE("a call is quarantined after the second crash of a target under it")
 {
-    told_ends mesh(4);
+    reported_crashes mesh(4);
     CHECK(mesh.view().empty());
-    mesh.tell(2, end_of({"a", "b"}));
+    mesh.report(2, crash_of({"a", "b"}));
     CHECK_FALSE(mesh.view().hold_of("a", {}, now_ms));
-    mesh.tell(3, end_of({"a", "c"}));
+    mesh.report(3, crash_of({"a", "c"}));
     CHECK(mesh.view().hold_of("a", {}, now_ms)->left ==
-          suspect_calls::first_hold);
+          suspect_calls::first_quarantine);
     CHECK_FALSE(mesh.view().hold_of("b", {}, now_ms));
     CHECK_FALSE(mesh.view().hold_of("c", {}, now_ms));
     CHECK_FALSE(mesh.view().hold_of("another", {}, now_ms));
@@ -27,78 +27,78 @@
 
 TEST_CASE("a successful run clears a call of earlier crashes")
 {
-    told_ends mesh(5);
-    mesh.tell(2, end_of({"a"}));
-    mesh.tell(3, end_of({"a"}));
-    mesh.tell(4, good_run{"a", now_ms + 40});
+    reported_crashes mesh(5);
+    mesh.report(2, crash_of({"a"}));
+    mesh.report(3, crash_of({"a"}));
+    mesh.report(4, good_run{"a", now_ms + 40});
     CHECK_FALSE(mesh.view().hold_of("a", {}, now_ms + 60));
     CHECK(mesh.view().empty());
     // Later crashes count.
-    mesh.tell(2, end_of({"a"}, now_ms + minute_ms));
+    mesh.report(2, crash_of({"a"}, now_ms + minute_ms));
     CHECK_FALSE(mesh.view().hold_of("a", {}, now_ms + minute_ms));
-    mesh.tell(3, end_of({"a"}, now_ms + minute_ms));
+    mesh.report(3, crash_of({"a"}, now_ms + minute_ms));
     CHECK(mesh.view().hold_of("a", {}, now_ms + minute_ms));
 }
 
 TEST_CASE(
     "two crashes at one owner count twice, one reported twice counts once")
 {
-    told_ends mesh(2);
-    mesh.tell(2, end_of({"a"}, now_ms));
-    mesh.tell(2, end_of({"a"}, now_ms));
+    reported_crashes mesh(2);
+    mesh.report(2, crash_of({"a"}, now_ms));
+    mesh.report(2, crash_of({"a"}, now_ms));
     CHECK_FALSE(mesh.view().hold_of("a", {}, now_ms));
-    mesh.tell(2, end_of({"a"}, now_ms + 4000));
+    mesh.report(2, crash_of({"a"}, now_ms + 4000));
     CHECK(mesh.view().hold_of("a", {}, now_ms + 4000));
 }
 
 TEST_CASE("crashes under the present attempt count before they are reported")
 {
-    told_ends mesh(4);
+    reported_crashes mesh(4);
     const auto one = mesh.members.find({"127.0.0.1", 2})->rpc;
     const auto two = mesh.members.find({"127.0.0.1", 3})->rpc;
     CHECK_FALSE(mesh.view().hold_of("a", {one}, now_ms));
     CHECK(mesh.view().hold_of("a", {one, two}, now_ms));
-    mesh.tell(2, end_of({"a"}));
+    mesh.report(2, crash_of({"a"}));
     CHECK_FALSE(mesh.view().hold_of("a", {one}, now_ms)); // the same crash
     CHECK(mesh.view().hold_of("a", {two}, now_ms));
 }
 
 TEST_CASE("the quarantine grows with each round of crashes, up to a day")
 {
-    told_ends mesh(20);
-    mesh.tell(2, end_of({"a"}));
-    mesh.tell(3, end_of({"a"}, now_ms + 700)); // in the same round
+    reported_crashes mesh(20);
+    mesh.report(2, crash_of({"a"}));
+    mesh.report(3, crash_of({"a"}, now_ms + 700)); // in the same round
     const auto first = mesh.view().hold_of("a", {}, now_ms + 700);
     REQUIRE(first);
     CHECK(first->rounds == 1);
-    CHECK(first->left == suspect_calls::first_hold);
+    CHECK(first->left == suspect_calls::first_quarantine);
     CHECK_FALSE(first->may_be_tried(false));
-    const auto lapsed = now_ms + 700 + 10 * minute_ms;
-    CHECK(mesh.view().hold_of("a", {}, lapsed)->may_be_tried(false));
+    const auto expired = now_ms + 700 + 10 * minute_ms;
+    CHECK(mesh.view().hold_of("a", {}, expired)->may_be_tried(false));
     // The probe crashed another target.
-    mesh.tell(4, end_of({"a"}, lapsed));
-    const auto second = mesh.view().hold_of("a", {}, lapsed);
+    mesh.report(4, crash_of({"a"}, expired));
+    const auto second = mesh.view().hold_of("a", {}, expired);
     CHECK(second->rounds == 2);
-    CHECK(second->left == 2 * suspect_calls::first_hold);
+    CHECK(second->left == 2 * suspect_calls::first_quarantine);
     for (std::uint16_t port = 5; port <= 20; ++port)
-        mesh.tell(port, end_of({"a"}, lapsed + port * minute_ms));
-    const auto last = lapsed + 20 * minute_ms;
+        mesh.report(port, crash_of({"a"}, expired + port * minute_ms));
+    const auto last = expired + 20 * minute_ms;
     CHECK(mesh.view().hold_of("a", {}, last)->left ==
-          suspect_calls::longest_hold);
+          suspect_calls::longest_quarantine);
 }
 
 TEST_CASE("a call that succeeded before is probed early, but only once")
 {
-    told_ends mesh(4);
-    mesh.tell(2, end_of({"a"}));
-    mesh.tell(3, end_of({"a"}));
-    const auto soon = now_ms + 5000;
-    CHECK_FALSE(mesh.view().hold_of("a", {}, soon - 1)->may_be_tried(true));
-    CHECK(mesh.view().hold_of("a", {}, soon)->may_be_tried(true));
-    CHECK_FALSE(mesh.view().hold_of("a", {}, soon)->may_be_tried(false));
-    mesh.tell(4, end_of({"a"}, soon + 100)); // the probe
+    reported_crashes mesh(4);
+    mesh.report(2, crash_of({"a"}));
+    mesh.report(3, crash_of({"a"}));
+    const auto early = now_ms + 5000;
+    CHECK_FALSE(mesh.view().hold_of("a", {}, early - 1)->may_be_tried(true));
+    CHECK(mesh.view().hold_of("a", {}, early)->may_be_tried(true));
+    CHECK_FALSE(mesh.view().hold_of("a", {}, early)->may_be_tried(false));
+    mesh.report(4, crash_of({"a"}, early + 100)); // the probe
     CHECK_FALSE(
-        mesh.view().hold_of("a", {}, soon + 60'000)->may_be_tried(true));
+        mesh.view().hold_of("a", {}, early + 60'000)->may_be_tried(true));
 }
 
 TEST_CASE("every node selects the same owner to probe a call")
@@ -122,17 +122,17 @@
 
 TEST_CASE("a crash in the future of the local clock has age zero")
 {
-    told_ends mesh(3);
-    mesh.tell(2, end_of({"a"}, now_ms + 5000));
-    mesh.tell(3, end_of({"a"}, now_ms + 5000));
+    reported_crashes mesh(3);
+    mesh.report(2, crash_of({"a"}, now_ms + 5000));
+    mesh.report(3, crash_of({"a"}, now_ms + 5000));
     CHECK(mesh.view().hold_of("a", {}, now_ms)->left ==
-          suspect_calls::first_hold);
+          suspect_calls::first_quarantine);
 }
 
 TEST_CASE("a known fingerprint is found by its first half")
 {
-    told_ends mesh(2);
-    mesh.tell(2, end_of({"0123456789abcdef.fedcba9876543210"}));
+    reported_crashes mesh(2);
+    mesh.report(2, crash_of({"0123456789abcdef.fedcba9876543210"}));
     CHECK(mesh.view().knows_head("0123456789abcdef"));
     CHECK_FALSE(mesh.view().knows_head("0123456789abcdee"));
     CHECK_FALSE(mesh.view().knows_head("ffffffffffffffff"));
@@ -140,10 +140,10 @@
 
 TEST_CASE("a newly quarantined call is listed once")
 {
-    told_ends mesh(4);
-    mesh.tell(2, end_of({"a", "b"}));
+    reported_crashes mesh(4);
+    mesh.report(2, crash_of({"a", "b"}));
     const auto before = mesh.view();
-    mesh.tell(3, end_of({"a"}));
+    mesh.report(3, crash_of({"a"}));
     const auto after = mesh.view();
     CHECK(after.newly_held(before, now_ms) == std::vector<std::string>{"a"});
     CHECK(after.newly_held(after, now_ms).empty());
@@ -151,17 +151,17 @@
 
 TEST_CASE("crashes are kept when the reporting node restarts")
 {
-    told_ends mesh(2);
-    mesh.tell(2, end_of({"a"}, now_ms));
+    reported_crashes mesh(2);
+    mesh.report(2, crash_of({"a"}, now_ms));
     auto rebooted = owner_at(2);
     rebooted.incarnation = 100; // has no record of the crash yet
     mesh.members.merge(rebooted);
-    mesh.tell(2, end_of({"a"}, now_ms + 9000));
+    mesh.report(2, crash_of({"a"}, now_ms + 9000));
     CHECK(mesh.view().hold_of("a", {}, now_ms + 9000));
     // The restarted node reads them from its stored row.
     member_list own(rebooted);
     auto row = owner_at(2);
-    add_target_ends(row, {end_of({"a"}, now_ms)});
+    add_target_ends(row, {crash_of({"a"}, now_ms)});
     own.merge(row);
     CHECK(own.self().target_ends.size() == 1);
 }
@@ -171,17 +171,17 @@
 {
     std::vector<target_end> ends;
     for (std::uint64_t i = 0; i < 9; ++i)
-        ends.push_back(end_of({"c" + std::to_string(i)}, now_ms + i));
+        ends.push_back(crash_of({"c" + std::to_string(i)}, now_ms + i));
     random_source random(7);
     for (int round = 0; round < 20; ++round)
     {
         std::ranges::shuffle(ends, random);
-        member told;
+        member changed;
         for (const auto& each : ends)
-            add_target_ends(told, {each});
-        REQUIRE(told.target_ends.size() == 4);
-        CHECK(told.target_ends.front().at_ms == now_ms + 5);
-        CHECK(told.target_ends.back().at_ms == now_ms + 8);
+            add_target_ends(changed, {each});
+        REQUIRE(changed.target_ends.size() == 4);
+        CHECK(changed.target_ends.front().at_ms == now_ms + 5);
+        CHECK(changed.target_ends.back().at_ms == now_ms + 8);
     }
 }
 
@@ -189,32 +189,32 @@
     "crashes and runs expire after a day and are not restored by other members")
 {
     constexpr std::uint64_t day_ms = 24 * 60 * minute_ms;
-    auto told = owner_at(2);
-    add_target_ends(told, {end_of({"a"}, now_ms)});
-    add_good_runs(told, {good_run{"b", now_ms + 5}});
+    auto changed = owner_at(2);
+    add_target_ends(changed, {crash_of({"a"}, now_ms)});
+    add_good_runs(changed, {good_run{"b", now_ms + 5}});
     member_list peer(owner_at(1));
-    peer.merge(told);
-    CHECK_FALSE(forget_news(told, now_ms));
-    CHECK(forget_news(told, now_ms + 1));
-    CHECK(told.target_ends.empty());
-    CHECK(told.good_runs.size() == 1);
+    peer.merge(changed);
+    CHECK_FALSE(forget_news(changed, now_ms));
+    CHECK(forget_news(changed, now_ms + 1));
+    CHECK(changed.target_ends.empty());
+    CHECK(changed.good_runs.size() == 1);
     // A recent crash is taken over from the known record, an expired one is
     // not.
-    told.incarnation = 5;
+    changed.incarnation = 5;
     peer.set_now({}, now_ms);
-    peer.merge(told);
-    CHECK(peer.find(told.rpc)->target_ends.size() == 1);
-    told.incarnation = 6;
+    peer.merge(changed);
+    CHECK(peer.find(changed.rpc)->target_ends.size() == 1);
+    changed.incarnation = 6;
     peer.set_now({}, now_ms + day_ms);
-    peer.merge(told);
-    CHECK(peer.find(told.rpc)->target_ends.empty());
+    peer.merge(changed);
+    CHECK(peer.find(changed.rpc)->target_ends.empty());
 }
 
 TEST_CASE("crashes are encoded and decoded; records without them are unchanged")
 {
     auto sent = owner_at(2);
     const auto plain = boost::json::serialize(to_json(sent));
-    add_target_ends(sent, {end_of({"a", "b.c"}), end_of({}, now_ms + 1)});
+    add_target_ends(sent, {crash_of({"a", "b.c"}), crash_of({}, now_ms + 1)});
     add_good_runs(sent, {good_run{"a", now_ms + 2}});
     const auto text = boost::json::serialize(to_json(sent));
     CHECK(*member_from_json(boost::json::parse(text)) == sent);
