--- a/include/tillerhall/routing/policy.hpp
+++ b/include/tillerhall/routing/policy.hpp
@@ -11,7 +11,7 @@
 {
 
 /** What is known of a target that may be chosen. */
-struct target_state
+struct target_stats
 {
     std::uint32_t own_in_flight = 0; ///< calls of this node to it
     double owner_load = 0;      ///< last reported load, as a share of its slots
@@ -37,7 +37,7 @@
      * @param sequence number of the choice, increases by one with each
      * @return an index into @p candidates.
      */
-    virtual std::size_t choose(std::span<const target_state> candidates,
+    virtual std::size_t choose(std::span<const target_stats> candidates,
                                std::uint64_t sequence,
                                random_source& random) const = 0;
 };
--- a/include/tillerhall/routing/target_board.hpp
+++ b/include/tillerhall/routing/target_board.hpp
@@ -199,7 +199,7 @@
     take_report(record& of, const owner_word& report, time_point now);
     record& record_of(const address& owner, time_point now);
     static bool has_free_place(const record& of);
-    target_state state_of(const record& of, time_point now) const;
+    target_stats stats_of(const record& of, time_point now) const;
     /**
      * @return the milliseconds until an answer of @p bytes would have left the
      * host of @p to, behind the answers that its owner reported.
--- a/src/routing/policy.cpp
+++ b/src/routing/policy.cpp
@@ -16,7 +16,7 @@
 constexpr double least_warmth = 0.1;
 
 /** @return the relative cost of one more call. */
-double cost_of(const target_state& of)
+double cost_of(const target_stats& of)
 {
     const double waiting = 1 + of.own_in_flight + load_weight * of.owner_load;
     const double time = 1 + of.latency_ms;
@@ -29,7 +29,7 @@
 {
 public:
     std::string_view name() const noexcept override { return "two_choices"; }
-    std::size_t choose(std::span<const target_state> candidates,
+    std::size_t choose(std::span<const target_stats> candidates,
                        std::uint64_t,
                        random_source& random) const override
     {
@@ -55,7 +55,7 @@
 {
 public:
     std::string_view name() const noexcept override { return "least_time"; }
-    std::size_t choose(std::span<const target_state> candidates,
+    std::size_t choose(std::span<const target_stats> candidates,
                        std::uint64_t,
                        random_source& random) const override
     {
@@ -83,7 +83,7 @@
     static constexpr double queue_slope = 3;
     static constexpr double unknown_run_ms = 100;
 
-    static double typical_run(std::span<const target_state> candidates)
+    static double typical_run(std::span<const target_stats> candidates)
     {
         double sum = 0;
         double count = 0;
@@ -96,7 +96,7 @@
         return count > 0 ? sum / count : unknown_run_ms;
     }
 
-    static double expected_ms(const target_state& of, double typical)
+    static double expected_ms(const target_stats& of, double typical)
     {
         const double run = of.run_ms > 0 ? of.run_ms : typical;
         const double own = of.slots > 0 ? of.own_in_flight / of.slots : 0;
@@ -114,7 +114,7 @@
 {
 public:
     std::string_view name() const noexcept override { return "round_robin"; }
-    std::size_t choose(std::span<const target_state> candidates,
+    std::size_t choose(std::span<const target_stats> candidates,
                        std::uint64_t sequence,
                        random_source&) const override
     {
@@ -130,7 +130,7 @@
     {
         return "least_in_flight";
     }
-    std::size_t choose(std::span<const target_state> candidates,
+    std::size_t choose(std::span<const target_stats> candidates,
                        std::uint64_t sequence,
                        random_source&) const override
     {
--- a/src/routing/target_board.cpp
+++ b/src/routing/target_board.cpp
@@ -93,7 +93,7 @@
                               [&](const member_ptr& each)
                               {
                                   const auto seen =
-                                      state_of(record_of(each->rpc, now), now);
+                                      stats_of(record_of(each->rpc, now), now);
                                   return seen.recent_failures < aside_share &&
                                          seen.recent_refusals < aside_share;
                               });
@@ -134,9 +134,9 @@
     return found;
 }
 
-target_state target_board::state_of(const record& of, time_point now) const
+target_stats target_board::stats_of(const record& of, time_point now) const
 {
-    target_state seen;
+    target_stats seen;
     seen.own_in_flight = of.in_flight;
     const auto age = std::max(0.0, seconds(now - of.last_end));
     const auto fading = std::exp2(-age / half_life_s);
@@ -231,22 +231,22 @@
                               time_point now)
 {
     const double answer = m_answers.of(from.work, unknown_answer_bytes);
-    std::vector<target_state> states;
+    std::vector<target_stats> stats;
     for (const auto& each : left)
     {
         const auto& known = record_of(each->rpc, now);
-        states.push_back(state_of(known, now));
+        stats.push_back(stats_of(known, now));
         if (const auto run = known.run_ms.find(from.work);
             run != known.run_ms.end())
-            states.back().run_ms = run->second;
-        states.back().distance_ms =
+            stats.back().run_ms = run->second;
+        stats.back().distance_ms =
             distance_ms(from, answer, each->place) +
             link_weight * link_ms(from, *each, known, now) +
             answer_link_ms(*each, known, answer, now);
     }
     std::vector<std::size_t> usable;
     for (std::size_t i = 0; i < left.size(); ++i)
-        if (states[i].recent_failures < aside_share)
+        if (stats[i].recent_failures < aside_share)
             usable.push_back(i);
     // If most targets seem bad, this node may be the cause: use all.
     if (usable.size() * 2 < left.size())
@@ -254,9 +254,9 @@
         usable.resize(left.size());
         std::iota(usable.begin(), usable.end(), std::size_t{0});
     }
-    std::vector<target_state> offered;
+    std::vector<target_stats> offered;
     for (const auto i : usable)
-        offered.push_back(states[i]);
+        offered.push_back(stats[i]);
     const auto picked = m_policy.choose(offered, m_choices++, m_random);
     return left[usable[picked]];
 }
@@ -273,7 +273,7 @@
     const auto free = [&](const member_ptr& each)
     {
         return is_left(*each, avoid) &&
-               state_of(record_of(each->rpc, now), now).owner_load < 1;
+               stats_of(record_of(each->rpc, now), now).owner_load < 1;
     };
     return std::ranges::any_of(route->places,
                                [&](const place_route& each) {
