--- a/include/tillerhall/routing/target_board.hpp
+++ b/include/tillerhall/routing/target_board.hpp
@@ -196,10 +196,10 @@
                             const std::vector<address>& avoid,
                             time_point now);
     static void
-    take_report(record& of, const owner_word& report, time_point now);
+    take_report(record& target, const owner_word& report, time_point now);
     record& record_of(const address& owner, time_point now);
-    static bool has_free_place(const record& of);
-    target_stats stats_of(const record& of, time_point now) const;
+    static bool has_free_slot(const record& target);
+    target_stats stats_of(const record& target, time_point now) const;
     /**
      * @return the milliseconds until an answer of @p bytes would have left the
      * host of @p to, behind the answers that its owner reported.
--- a/src/routing/policy.cpp
+++ b/src/routing/policy.cpp
@@ -16,12 +16,13 @@
 constexpr double least_warmth = 0.1;
 
 /** @return the relative cost of one more call. */
-double cost_of(const target_stats& of)
+double cost_of(const target_stats& target)
 {
-    const double waiting = 1 + of.own_in_flight + load_weight * of.owner_load;
-    const double time = 1 + of.latency_ms;
-    const double failing = 1 + failure_weight * of.recent_failures;
-    return waiting * time * failing / std::max(least_warmth, of.warmth);
+    const double waiting =
+        1 + target.own_in_flight + load_weight * target.owner_load;
+    const double time = 1 + target.latency_ms;
+    const double failing = 1 + failure_weight * target.recent_failures;
+    return waiting * time * failing / std::max(least_warmth, target.warmth);
 }
 
 /** Takes the better of two random candidates (Mitzenmacher, IEEE TPDS 2001). */
@@ -96,16 +97,17 @@
         return count > 0 ? sum / count : unknown_run_ms;
     }
 
-    static double expected_ms(const target_stats& of, double typical)
+    static double expected_ms(const target_stats& target, double typical)
     {
-        const double run = of.run_ms > 0 ? of.run_ms : typical;
-        const double own = of.slots > 0 ? of.own_in_flight / of.slots : 0;
-        const double load = std::max(of.owner_load, own);
+        const double run = target.run_ms > 0 ? target.run_ms : typical;
+        const double own =
+            target.slots > 0 ? target.own_in_flight / target.slots : 0;
+        const double load = std::max(target.owner_load, own);
         const double stretch = 1 + busy_slope * load * load +
                                queue_slope * std::max(0.0, load - queue_from);
-        const double failing =
-            1 + failure_weight * (of.recent_failures + of.recent_refusals);
-        return run * stretch * failing + of.distance_ms;
+        const double failing = 1 + failure_weight * (target.recent_failures +
+                                                     target.recent_refusals);
+        return run * stretch * failing + target.distance_ms;
     }
 };
 
--- a/src/routing/target_board.cpp
+++ b/src/routing/target_board.cpp
@@ -69,15 +69,15 @@
     return std::chrono::duration<double>(span).count();
 }
 
-bool is_left(const member& target, const std::vector<address>& avoid)
+bool is_candidate(const member& target, const std::vector<address>& avoid)
 {
     return std::ranges::find(avoid, target.rpc) == avoid.end();
 }
 
-bool has_left(const place_route& place, const std::vector<address>& avoid)
+bool has_candidate(const place_route& place, const std::vector<address>& avoid)
 {
     return std::ranges::any_of(place.targets, [&](const member_ptr& each)
-                               { return is_left(*each, avoid); });
+                               { return is_candidate(*each, avoid); });
 }
 
 } // namespace
@@ -86,7 +86,7 @@
                                       const std::vector<address>& avoid,
                                       time_point now)
 {
-    if (!has_left(place, avoid))
+    if (!has_candidate(place, avoid))
         return 0;
     const auto well =
         std::ranges::count_if(place.targets,
@@ -134,19 +134,19 @@
     return found;
 }
 
-target_stats target_board::stats_of(const record& of, time_point now) const
+target_stats target_board::stats_of(const record& target, time_point now) const
 {
     target_stats seen;
-    seen.own_in_flight = of.in_flight;
-    const auto age = std::max(0.0, seconds(now - of.last_end));
+    seen.own_in_flight = target.in_flight;
+    const auto age = std::max(0.0, seconds(now - target.last_end));
     const auto fading = std::exp2(-age / half_life_s);
-    seen.recent_failures = of.failures * fading;
-    seen.recent_refusals = of.refusals * fading;
-    const auto report_age = std::max(0.0, seconds(now - of.reported_at));
-    seen.owner_load = of.load * std::exp2(-report_age / half_life_s);
-    seen.latency_ms = of.latency_ms * fading;
-    seen.slots = of.slots;
-    seen.warmth = std::min(1.0, seconds(now - of.first_seen) / warm_up_s);
+    seen.recent_failures = target.failures * fading;
+    seen.recent_refusals = target.refusals * fading;
+    const auto report_age = std::max(0.0, seconds(now - target.reported_at));
+    seen.owner_load = target.load * std::exp2(-report_age / half_life_s);
+    seen.latency_ms = target.latency_ms * fading;
+    seen.slots = target.slots;
+    seen.warmth = std::min(1.0, seconds(now - target.first_seen) / warm_up_s);
     return seen;
 }
 
@@ -207,7 +207,7 @@
     std::vector<member_ptr> left;
     std::ranges::copy_if(place->targets, std::back_inserter(left),
                          [&](const member_ptr& each)
-                         { return is_left(*each, avoid); });
+                         { return is_candidate(*each, avoid); });
     return chosen_target{pick(left, {}, now), place->limits};
 }
 
@@ -219,7 +219,7 @@
     std::vector<member_ptr> left;
     std::ranges::copy_if(candidates, std::back_inserter(left),
                          [&](const member_ptr& each)
-                         { return is_left(*each, avoid); });
+                         { return is_candidate(*each, avoid); });
     if (left.empty())
         return nullptr;
     const std::lock_guard lock(m_mutex);
@@ -272,7 +272,7 @@
     const std::lock_guard lock(m_mutex);
     const auto free = [&](const member_ptr& each)
     {
-        return is_left(*each, avoid) &&
+        return is_candidate(*each, avoid) &&
                stats_of(record_of(each->rpc, now), now).owner_load < 1;
     };
     return std::ranges::any_of(route->places,
@@ -294,44 +294,44 @@
                          time_point now)
 {
     const std::lock_guard lock(m_mutex);
-    auto& of = record_of(owner, now);
-    if (of.in_flight > 0)
-        --of.in_flight;
+    auto& target = record_of(owner, now);
+    if (target.in_flight > 0)
+        --target.in_flight;
     if (call.verdict == call_verdict::unknown)
         return;
     const double failed = call.verdict == call_verdict::failed ? 1 : 0;
-    of.failures += (failed - of.failures) * newest_share;
+    target.failures += (failed - target.failures) * newest_share;
     const double refused = call.verdict == call_verdict::refused ? 1 : 0;
-    of.refusals += (refused - of.refusals) * refusal_share;
+    target.refusals += (refused - target.refusals) * refusal_share;
     if (call.verdict == call_verdict::failed)
-        of.failures = std::max(of.failures, aside_share);
+        target.failures = std::max(target.failures, aside_share);
     if (call.answer_bytes > 0)
         m_answers.answered(call.work, call.answer_bytes);
     if (call.verdict == call_verdict::good)
-        of.latency_ms +=
-            (seconds(call.took) * 1000 - of.latency_ms) * newest_share;
-    take_report(of, call.report, now);
+        target.latency_ms +=
+            (seconds(call.took) * 1000 - target.latency_ms) * newest_share;
+    take_report(target, call.report, now);
     if (call.report.run_ms > 0)
-        of.run_ms[call.work] = call.report.run_ms;
+        target.run_ms[call.work] = call.report.run_ms;
     if (!call.report.load && call.verdict == call_verdict::refused)
     {
-        of.load = std::max(of.load, 1.0);
-        of.reported_at = now;
+        target.load = std::max(target.load, 1.0);
+        target.reported_at = now;
     }
-    of.last_end = now;
+    target.last_end = now;
 }
 
-void target_board::take_report(record& of,
+void target_board::take_report(record& target,
                                const owner_word& report,
                                time_point now)
 {
     if (report.slots > 0)
-        of.slots = report.slots;
+        target.slots = report.slots;
     if (!report.load)
         return;
-    of.load = *report.load;
-    of.link_backlog = report.link_backlog;
-    of.reported_at = now;
+    target.load = *report.load;
+    target.link_backlog = report.link_backlog;
+    target.reported_at = now;
 }
 
 owner_outlook target_board::outlook(const member& owner,
@@ -346,28 +346,27 @@
     const double run_ms = run == known.run_ms.end() ? 0 : run->second;
     const double age_ms = seconds(now - known.reported_at) * 1000;
     seen.is_known = age_ms < report_valid_runs * run_ms;
-    seen.has_room = has_free_place(known);
+    seen.has_room = has_free_slot(known);
     return seen;
 }
 
-bool target_board::has_free_place(const record& of)
+bool target_board::has_free_slot(const record& target)
 {
-    const double own = of.slots > 0 ? of.in_flight / of.slots : 0;
-    return std::max(of.load, own) < 1 && of.failures < aside_share;
+    const double own = target.slots > 0 ? target.in_flight / target.slots : 0;
+    return std::max(target.load, own) < 1 && target.failures < aside_share;
 }
 
 bool target_board::has_room(const address& owner)
 {
     const std::lock_guard lock(m_mutex);
-    return has_free_place(m_records[owner]);
+    return has_free_slot(m_records[owner]);
 }
 
 bool target_board::seems_full(const address& owner, time_point now)
 {
     const std::lock_guard lock(m_mutex);
     const auto& known = m_records[owner];
-    return now < known.reported_at + full_report_valid &&
-           !has_free_place(known);
+    return now < known.reported_at + full_report_valid && !has_free_slot(known);
 }
 
 double target_board::answer_bytes(const work_class& work)
@@ -382,14 +381,14 @@
                         time_point now)
 {
     const std::lock_guard lock(m_mutex);
-    auto& of = record_of(owner, now);
-    take_report(of, report, now);
+    auto& target = record_of(owner, now);
+    take_report(target, report, now);
     // It has free slots again, whatever it refused before.
     if (report.load && *report.load < 1)
-        of.refusals = 0;
-    of.round_trip_ms = seconds(round_trip) * 1000;
-    of.incoming_bytes = static_cast<double>(report.incoming_bytes);
-    of.asked = now;
+        target.refusals = 0;
+    target.round_trip_ms = seconds(round_trip) * 1000;
+    target.incoming_bytes = static_cast<double>(report.incoming_bytes);
+    target.asked = now;
 }
 
 void target_board::count_call(const std::string& service, std::int64_t percent)
