--- a/tests/unit/first_calls.cpp
+++ b/tests/unit/first_calls.cpp
@@ -165,7 +165,7 @@
     INFO("in time before " << before.in_time << ", now " << now.in_time
                            << "; late before " << before.late << ", now "
                            << now.late);
-    // In time are nine tenths of what the slots can serve.
+    // Nine tenths of what the slots can serve are answered in time.
     const double carried = 40.0 * slots * span_ms / cold_run_ms;
     CHECK(now.in_time > 0.9 * carried);
     CHECK(now.late < now.in_time / 10);
--- a/tests/unit/fleet_budget.cpp
+++ b/tests/unit/fleet_budget.cpp
@@ -133,7 +133,7 @@
     CHECK_FALSE(shedder.sheds(0, now));
     for (int i = 0; i < 100; ++i)
         shedder.call_failed(true, now);
-    CHECK(shedder.share(now) >
-          0.4); // half of the failures are due to a lack of capacity
+    // Half of the failures are due to a lack of capacity.
+    CHECK(shedder.share(now) > 0.4);
     CHECK(shedder.share(now) < 0.5);
 }
--- a/tests/unit/limits.cpp
+++ b/tests/unit/limits.cpp
@@ -241,10 +241,7 @@
         return waiter;
     }
 
-    /**
-     * Ends the current run.
-     * @return true if @p waiter runs next.
-     */
+    /** Ends the current run. @return true if @p waiter runs next. */
     bool next_is(const admission_waiter& waiter)
     {
         limiter.leave(now, milliseconds(1));
--- a/tests/unit/link_schedule.cpp
+++ b/tests/unit/link_schedule.cpp
@@ -250,7 +250,7 @@
     CHECK(refusing.worth() > 1.2 * accepting_all.worth());
 }
 
-TEST_CASE("without overload of a link no download is refused")
+TEST_CASE("without overload no download is refused and few are late")
 {
     const auto seen = simulate_downloads(10, true);
     CHECK(seen.refused == 0);
