--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -14,7 +14,7 @@
 // The newest run time has a weight of 1 / mean_runs in the mean.
 constexpr int mean_runs = 32;
 constexpr double least_burst = 1;
-// One grant in this many goes to the next rank that waits, which so gets a
+// One grant in this many goes to the next rank that waits, which thus gets a
 // fifth of the slots.
 constexpr unsigned less_urgent_every = 5;
 // The rate limit's burst, as seconds of its rate.
--- a/src/routing/policy.cpp
+++ b/src/routing/policy.cpp
@@ -111,7 +111,7 @@
     }
 };
 
-/** Takes the candidates in sequence. */
+/** Takes the candidates one after the other. */
 class round_robin_policy : public choice_policy
 {
 public:
@@ -136,7 +136,7 @@
                        std::uint64_t sequence,
                        random_source&) const override
     {
-        // Ties are broken in sequence, or the first would take them all.
+        // Ties are broken in rotation, or the first would take them all.
         std::size_t best = sequence % candidates.size();
         for (std::size_t i = 0; i < candidates.size(); ++i)
             if (candidates[i].own_in_flight < candidates[best].own_in_flight)
--- a/src/routing/service_targets.cpp
+++ b/src/routing/service_targets.cpp
@@ -22,8 +22,8 @@
 
 /**
  * @return the release that gets the calls where no stable release is stored:
- * that of most targets, among equals the first by name. Neither the release of
- * a running roll-out nor a closed one.
+ * that of most targets, among equals the first by name. Neither the release
+ * that a roll-out has ordered nor a closed one.
  */
 std::string majority_release(const std::string& service,
                              const std::map<std::string, std::size_t>& counts,
