--- a/src/routing/policy.cpp
+++ b/src/routing/policy.cpp
@@ -9,27 +9,28 @@
 namespace
 {
 
-// A failure counts like this many calls in flight.
+// A failed target costs as much as one with this many calls in flight.
 constexpr double failure_weight = 20;
-// A full queue at the owner counts like this many calls in flight.
+// A fully loaded owner costs as much as this many calls in flight.
 constexpr double load_weight = 8;
 constexpr double least_warmth = 0.1;
 
-/** @return the cost of one more call; the lower the better. */
-double cost_of(const target_standing& of)
+/** @return the relative cost of one more call. */
+double cost_of(const target_stats& target)
 {
-    const double waiting = 1 + of.own_in_flight + load_weight * of.owner_load;
-    const double time = 1 + of.latency_ms;
-    const double failing = 1 + failure_weight * of.recent_failures;
-    return waiting * time * failing / std::max(least_warmth, of.warmth);
+    const double waiting =
+        1 + target.own_in_flight + load_weight * target.owner_load;
+    const double time = 1 + target.latency_ms;
+    const double failing = 1 + failure_weight * target.recent_failures;
+    return waiting * time * failing / std::max(least_warmth, target.warmth);
 }
 
-/** The better of two random ones (Mitzenmacher, IEEE TPDS 2001). */
+/** Takes the better of two random candidates (Mitzenmacher, IEEE TPDS 2001). */
 class two_choices_policy : public choice_policy
 {
 public:
     std::string_view name() const noexcept override { return "two_choices"; }
-    std::size_t choose(std::span<const target_standing> candidates,
+    std::size_t choose(std::span<const target_stats> candidates,
                        std::uint64_t,
                        random_source& random) const override
     {
@@ -45,16 +46,17 @@
 };
 
 /**
- * The one with the least expected time for one call more: the owner's word on
- * the mean run, stretched by its load and by what this node has sent since,
- * plus the way there. The owners' words are about the same mix of calls, so
- * they compare where this node's own few samples would not.
+ * Takes the candidate with the least expected time for one more call: the
+ * reported mean run time, scaled by the owner's load and the calls this node
+ * has sent since, plus the distance. Load reports of all owners are about the
+ * same mix of calls, so they can be compared where this node's own few samples
+ * could not.
  */
 class least_time_policy : public choice_policy
 {
 public:
     std::string_view name() const noexcept override { return "least_time"; }
-    std::size_t choose(std::span<const target_standing> candidates,
+    std::size_t choose(std::span<const target_stats> candidates,
                        std::uint64_t,
                        random_source& random) const override
     {
@@ -63,7 +65,7 @@
         double least = 0;
         for (std::size_t i = 0; i < candidates.size(); ++i)
         {
-            // A little noise, so that nodes with the same view differ.
+            // Noise, so that nodes with the same view choose differently.
             const double noise = 1 + choice_noise * random.unit();
             const double time = expected_ms(candidates[i], typical) * noise;
             if (i != 0 && time >= least)
@@ -76,13 +78,13 @@
 
 private:
     static constexpr double choice_noise = 0.1;
-    // A target slows down before it is full; past that, calls queue.
+    // A target slows down before it is full; from `queue_from` on calls queue.
     static constexpr double busy_slope = 0.3;
     static constexpr double queue_from = 0.85;
     static constexpr double queue_slope = 3;
     static constexpr double unknown_run_ms = 100;
 
-    static double typical_run(std::span<const target_standing> candidates)
+    static double typical_run(std::span<const target_stats> candidates)
     {
         double sum = 0;
         double count = 0;
@@ -95,33 +97,34 @@
         return count > 0 ? sum / count : unknown_run_ms;
     }
 
-    static double expected_ms(const target_standing& of, double typical)
+    static double expected_ms(const target_stats& target, double typical)
     {
-        const double run = of.run_ms > 0 ? of.run_ms : typical;
-        const double own = of.slots > 0 ? of.own_in_flight / of.slots : 0;
-        const double load = std::max(of.owner_load, own);
+        const double run = target.run_ms > 0 ? target.run_ms : typical;
+        const double own =
+            target.slots > 0 ? target.own_in_flight / target.slots : 0;
+        const double load = std::max(target.owner_load, own);
         const double stretch = 1 + busy_slope * load * load +
                                queue_slope * std::max(0.0, load - queue_from);
-        const double failing =
-            1 + failure_weight * (of.recent_failures + of.recent_refusals);
-        return run * stretch * failing + of.distance_ms;
+        const double failing = 1 + failure_weight * (target.recent_failures +
+                                                     target.recent_refusals);
+        return run * stretch * failing + target.distance_ms;
     }
 };
 
-/** Each in its turn. */
+/** Takes the candidates one after the other. */
 class round_robin_policy : public choice_policy
 {
 public:
     std::string_view name() const noexcept override { return "round_robin"; }
-    std::size_t choose(std::span<const target_standing> candidates,
-                       std::uint64_t turn,
+    std::size_t choose(std::span<const target_stats> candidates,
+                       std::uint64_t sequence,
                        random_source&) const override
     {
-        return turn % candidates.size();
+        return sequence % candidates.size();
     }
 };
 
-/** The one with the fewest of this node's calls in flight. */
+/** Takes the candidate with the fewest calls of this node in flight. */
 class least_in_flight_policy : public choice_policy
 {
 public:
@@ -129,12 +132,12 @@
     {
         return "least_in_flight";
     }
-    std::size_t choose(std::span<const target_standing> candidates,
-                       std::uint64_t turn,
+    std::size_t choose(std::span<const target_stats> candidates,
+                       std::uint64_t sequence,
                        random_source&) const override
     {
-        // Ties are broken by turn, else the first would take them all.
-        std::size_t best = turn % candidates.size();
+        // Ties are broken in rotation, or the first would take them all.
+        std::size_t best = sequence % candidates.size();
         for (std::size_t i = 0; i < candidates.size(); ++i)
             if (candidates[i].own_in_flight < candidates[best].own_in_flight)
                 best = i;
--- a/tests/unit/first_calls.cpp
+++ b/tests/unit/first_calls.cpp
@@ -1,9 +1,9 @@
-/** @file What callers get of a target that has just started.
+/**
+ * @file Calls to a target that has just started.
  *
- * The story: a day on which all hosts lose power earned 0.28 of its worth in
- * the 2 s after they were back: of 3,237 calls 584 were answered in time, 1,428
- * late. Owners knew no run times yet and took each run for nothing, so that all
- * that came was let in to wait. */
+ * Guards against owners that, without known run times, take each run for zero
+ * and admit more calls than the target can serve in time.
+ */
 #include "tillerhall/core/random.hpp"
 #include "tillerhall/routing/admission.hpp"
 #include "tillerhall/routing/run_estimates.hpp"
@@ -20,7 +20,7 @@
 const work_class work{2, milliseconds(600), call_kind::repeatable};
 constexpr int cold_run_ms = 320;
 
-/** What the calls of the first two seconds came to. */
+/** Results of the calls. */
 struct outcome
 {
     unsigned calls = 0;
@@ -28,14 +28,14 @@
     unsigned late = 0;
 };
 
-/** A target with places and a queue, and calls at random moments. */
-class played_start
+/** Simulates a target with slots and a queue, and calls at random times. */
+class simulated_start
 {
 public:
-    played_start(std::uint64_t seed, bool guesses)
+    simulated_start(std::uint64_t seed, bool has_default)
         : m_random(seed)
-        , m_guesses(guesses)
-        , m_places(limits())
+        , m_has_default(has_default)
+        , m_admission(limits())
     {
     }
 
@@ -53,7 +53,7 @@
 private:
     struct call
     {
-        int come = 0;
+        int arrived_at = 0;
         int ends = 0;
         bool runs = false;
         admission_waiter waiter;
@@ -75,25 +75,26 @@
 
     duration expected() const
     {
-        return m_guesses ? m_estimates.expected(work, m_places.mean_run())
-                         : m_estimates.of(work, duration::zero());
+        return m_has_default
+                   ? m_estimates.expected(work, m_admission.mean_run())
+                   : m_estimates.of(work, duration::zero());
     }
 
     void arrive()
     {
         ++m_seen.calls;
         const auto due = at() + work.objective;
-        const auto verdict =
-            m_places.arrive(at(), {.deadline = at() + std::chrono::seconds(2),
-                                   .rank = work.rank,
-                                   .due = due,
-                                   .most_wait = work.objective / 16,
-                                   .run = expected()});
+        const auto verdict = m_admission.arrive(
+            at(), {.deadline = at() + std::chrono::seconds(2),
+                   .rank = work.rank,
+                   .due = due,
+                   .most_wait = work.objective / 16,
+                   .run = expected()});
         if (verdict != admission_verdict::run &&
             verdict != admission_verdict::wait)
             return;
         auto& made = m_calls.emplace_back();
-        made.come = m_now;
+        made.arrived_at = m_now;
         if (verdict == admission_verdict::run)
             return start(made);
         made.waiter.rank = work.rank;
@@ -105,7 +106,7 @@
             if (made.waiter.granted)
                 start(made);
         };
-        m_places.enqueue(made.waiter);
+        m_admission.enqueue(made.waiter);
     }
 
     void start(call& of)
@@ -124,37 +125,39 @@
             each.runs = false;
             const auto took = milliseconds(cold_run_ms);
             m_estimates.ran(work, took);
-            const bool in_time = m_now - each.come <= work.objective.count();
+            const bool in_time =
+                m_now - each.arrived_at <= work.objective.count();
             ++(in_time ? m_seen.in_time : m_seen.late);
-            m_places.leave(at(), took);
+            m_admission.leave(at(), took);
         }
     }
 
     random_source m_random;
-    bool m_guesses;
+    bool m_has_default;
     run_estimates m_estimates;
     std::list<call> m_calls;
     int m_now = 0;
     outcome m_seen;
-    admission m_places;
+    admission m_admission;
 };
 
 } // namespace
 
-TEST_CASE("a target that has just started lets in what it can serve in time")
+TEST_CASE("a target that has just started admits what it can serve in time")
 {
-    // 9 places with runs of 0.32 s serve 28 calls a second; four times as many
-    // come while clients return.
+    // 9 slots with runs of 0.32 s serve 28 calls a second; four times as many
+    // arrive.
     constexpr double per_s = 112;
     constexpr int span_ms = 2'000;
     outcome before;
     outcome now;
     for (std::uint64_t seed = 1; seed <= 40; ++seed)
     {
-        for (const bool guesses : {false, true})
+        for (const bool has_default : {false, true})
         {
-            const auto seen = played_start(seed, guesses).play(per_s, span_ms);
-            auto& sum = guesses ? now : before;
+            const auto seen =
+                simulated_start(seed, has_default).play(per_s, span_ms);
+            auto& sum = has_default ? now : before;
             sum.in_time += seen.in_time;
             sum.late += seen.late;
         }
@@ -162,13 +165,13 @@
     INFO("in time before " << before.in_time << ", now " << now.in_time
                            << "; late before " << before.late << ", now "
                            << now.late);
-    // Nine in ten of what the places can carry, where before a fifth was late.
+    // Nine tenths of what the slots can serve are answered in time.
     const double carried = 40.0 * slots * span_ms / cold_run_ms;
     CHECK(now.in_time > 0.9 * carried);
     CHECK(now.late < now.in_time / 10);
 }
 
-TEST_CASE("an expected run is of its class, else the mean, else a guess")
+TEST_CASE("expected run time: mean of the class, else of all, else a default")
 {
     run_estimates estimates;
     CHECK(estimates.expected(work, duration::zero()) == milliseconds(150));
