--- a/include/tillerhall/membership/good_run.hpp
+++ b/include/tillerhall/membership/good_run.hpp
@@ -1,4 +1,4 @@
-/** @file Word that a call under which a target ended ran well. */
+/** @file A call that ran well although a target had crashed under it. */
 #pragma once
 
 #include <cstdint>
@@ -7,11 +7,12 @@
 namespace tillerhall
 {
 
-/** An owner's word for a call that runs at its target again and again. */
+/** An owner's report that a call runs repeatedly at its target without a
+ * crash. */
 struct good_run
 {
-    std::string call;        ///< its fingerprint
-    std::uint64_t at_ms = 0; ///< wall clock of the owner's host, since 1970
+    std::string call;        ///< fingerprint
+    std::uint64_t at_ms = 0; ///< Unix time on the owner's host
 
     bool operator==(const good_run&) const = default;
 };
--- a/include/tillerhall/membership/target_end.hpp
+++ b/include/tillerhall/membership/target_end.hpp
@@ -1,4 +1,4 @@
-/** @file The end of a target without a word, and what ran there. */
+/** @file A crash of a target and the calls that ran there. */
 #pragma once
 
 #include <cstdint>
@@ -8,15 +8,16 @@
 namespace tillerhall
 {
 
-/** As its owner saw it. Names which calls may have ended it. */
+/** A crash as seen by the owner, with the calls that may have caused it. */
 struct target_end
 {
-    /** Named in one end; no target runs many more calls at once. */
+    /** Limit of calls listed in one record; about the most that a target runs
+     * at once. */
     static constexpr std::size_t most_calls = 32;
 
-    std::string target_id;          ///< the start that ended
-    std::uint64_t at_ms = 0;        ///< wall clock of its host, since 1970
-    std::vector<std::string> calls; ///< fingerprints of those that ran there
+    std::string target_id;          ///< the start that crashed
+    std::uint64_t at_ms = 0;        ///< Unix time on the target's host
+    std::vector<std::string> calls; ///< fingerprints of calls that ran
 
     bool operator==(const target_end&) const = default;
 };
