--- a/include/tillerhall/membership/heartbeat_schedule.hpp
+++ b/include/tillerhall/membership/heartbeat_schedule.hpp
@@ -1,4 +1,4 @@
-/** @file Which peer a node sends its next heartbeat to. */
+/** @file Selects the peer for the next heartbeat. */
 #pragma once
 
 #include "tillerhall/core/random.hpp"
@@ -10,25 +10,25 @@
 {
 
 /**
- * Heartbeats go in turn to a ring successor and to a random live member.
+ * Alternates between a ring successor and a random member that isn't dead.
  *
- * The ring (members in order of the hash of their address) gives every node
- * a bounded, known set of watchers; the random ones mix news through the
- * mesh in O(log N) rounds (Demers et al., PODC 1987) and repair what the
- * broadcast missed. Every so often a dead member is tried, so that a mesh
- * that was cut in two finds itself again.
+ * The ring (members ordered by the hash of their address) gives each node a
+ * bounded set of monitors. The random peers spread rumors in O(log N) rounds
+ * (Demers et al., PODC 1987) and reach members that a broadcast missed.
+ * Periodically a dead member is tried, so that a partitioned mesh merges
+ * again once the partition heals.
  */
 class heartbeat_schedule
 {
 public:
     static constexpr std::size_t successors = 3;
-    static constexpr std::uint64_t dead_every = 10; ///< turns
+    static constexpr std::uint64_t dead_every = 10; ///< heartbeats
 
-    /** @return whom to send the next heartbeat to, if there is anyone. */
+    /** @return the peer for the next heartbeat, or nullopt if there is none. */
     std::optional<address> next(const member_list& members,
                                 random_source& random);
 
-    /** @return the ring successors of this node that still run. */
+    /** @return the nearest live ring successors of this node. */
     static std::vector<address> ring_successors(const member_list& members);
 
 private:
--- a/src/membership/heartbeat_schedule.cpp
+++ b/src/membership/heartbeat_schedule.cpp
@@ -15,7 +15,7 @@
     const keyed_member* node;
 };
 
-/** @return a random one of the other members that fulfil @p wanted. */
+/** @return a random member other than this node that satisfies @p wanted. */
 template <class Predicate>
 std::optional<address>
 pick(const member_list& members, random_source& random, Predicate wanted)
