--- a/include/tillerhall/membership/heartbeat_schedule.hpp
+++ b/include/tillerhall/membership/heartbeat_schedule.hpp
@@ -22,7 +22,7 @@
 {
 public:
     static constexpr std::size_t successors = 3;
-    static constexpr std::uint64_t dead_every = 10; ///< heartbeats
+    static constexpr std::uint64_t dead_member_period = 10; ///< heartbeats
 
     /** @return the peer for the next heartbeat, or nullopt if there is none. */
     std::optional<address> next(const member_list& members,
@@ -32,7 +32,7 @@
     static std::vector<address> ring_successors(const member_list& members);
 
 private:
-    std::uint64_t m_turn = 0;
+    std::uint64_t m_heartbeats = 0;
 };
 
 } // namespace tillerhall
--- a/src/membership/heartbeat_schedule.cpp
+++ b/src/membership/heartbeat_schedule.cpp
@@ -28,10 +28,10 @@
     if (count == 0)
         return std::nullopt;
     auto left = random.below(static_cast<std::uint64_t>(count));
-    const auto chosen =
+    const auto picked =
         std::ranges::find_if(all, [&](const keyed_member& each)
                              { return fits(each) && left-- == 0; });
-    return chosen->record->rpc;
+    return picked->record->rpc;
 }
 
 bool is_dead(const member& checked)
@@ -62,13 +62,13 @@
 std::optional<address> heartbeat_schedule::next(const member_list& members,
                                                 random_source& random)
 {
-    const auto turn = m_turn++;
-    if (turn % dead_every == dead_every - 1)
-        if (auto lost = pick(members, random, is_dead))
-            return lost;
-    if (turn % 2 == 0)
+    const auto heartbeat = m_heartbeats++;
+    if (heartbeat % dead_member_period == dead_member_period - 1)
+        if (auto dead_member = pick(members, random, is_dead))
+            return dead_member;
+    if (heartbeat % 2 == 0)
         if (const auto nearest = ring_successors(members); !nearest.empty())
-            return nearest[turn / 2 % nearest.size()];
+            return nearest[heartbeat / 2 % nearest.size()];
     return pick(members, random, std::not_fn(is_dead));
 }
 
