--- a/include/tillerhall/membership/member.hpp
+++ b/include/tillerhall/membership/member.hpp
@@ -1,4 +1,4 @@
-/** @file What the mesh knows of one node and its target. */
+/** @file The membership record of one node and its target. */
 #pragma once
 
 #include "tillerhall/core/address.hpp"
@@ -16,7 +16,7 @@
 namespace tillerhall
 {
 
-/** How a node stands; at equal incarnations the later state wins. */
+/** State of a node; at equal incarnations the later enumerator wins. */
 enum class member_state
 {
     alive,
@@ -25,7 +25,7 @@
     dead
 };
 
-/** How a node found its own target. */
+/** State of a target as seen by its own node. */
 enum class target_state
 {
     serving,
@@ -36,7 +36,7 @@
 std::string_view name_of(member_state state) noexcept;
 std::string_view name_of(target_state state) noexcept;
 
-/** Where a node stands in the mesh. */
+/** Location of a node. */
 struct member_place
 {
     std::string region;
@@ -45,94 +45,97 @@
     auto operator<=>(const member_place&) const = default;
 };
 
-/** One node's record, written by itself except for suspect and dead. */
+/** Record of one node. Only the node itself writes it, except that others may
+ * mark it suspect or dead. */
 struct member
 {
-    address rpc;       ///< control address; names the node
-    address peer;      ///< takes calls from other nodes
-    address caller;    ///< takes calls from callers
+    address rpc;       ///< control address; identifies the node
+    address peer;      ///< listens for calls from other nodes
+    address caller;    ///< listens for calls from callers
     address operators; ///< operator API
     member_place place;
-    std::string service; ///< of its target
+    std::string service; ///< of the target
     address target;
-    std::string target_id; ///< of its present start; empty if it tells none
-    std::string release;   ///< of its target's software; empty if not told
-    /** Starts of its target that have left, the newest last. */
+    std::string target_id; ///< of its current start; empty if not reported
+    std::string release;   ///< of the target's software; empty if not reported
+    /** Ids of starts of the target that have left, newest last. */
     std::vector<std::string> left_targets;
-    std::uint32_t link_mbps = 0; ///< of its host's link; 0 if not told
-    /** Ends of its target while calls ran there, the newest last. */
+    std::uint32_t link_mbps = 0; ///< of the host's link; 0 if unknown
+    /** Crashes of the target while calls ran there, newest last. */
     std::vector<target_end> target_ends;
-    /** What ran well there though targets ended under it, the newest last. */
+    /** Calls that ran well here although targets had crashed under them,
+     * newest last. */
     std::vector<good_run> good_runs;
     target_state target_is = target_state::serving;
     member_state state = member_state::alive;
-    /** Milliseconds at start, raised to refute; the greater record wins. */
+    /** Unix time in ms at the start, raised to refute; the record with the
+     * greater incarnation wins. */
     std::uint64_t incarnation = 0;
 
     bool operator==(const member&) const = default;
 };
 
-/** @return whether @p offered says something newer than @p known. */
+/** @return true if @p offered is newer than @p known. */
 bool supersedes(const member& offered, const member& known) noexcept;
 
 /**
- * Adds @p left to the starts of @p to's target that have left: once true, it
- * stays true, whichever boot of the node told it. The newest eight are kept.
- * @return whether any was not known.
+ * Adds departed target starts to @p to. A start that has left never returns,
+ * so entries from earlier boots of the node stay valid. Keeps the newest 8.
+ * @return true if any was new.
  */
 bool add_left_targets(member& to, const std::vector<std::string>& left);
 
 /**
- * Adds @p ends to those that @p to tells, whichever boot of the node saw them.
- * The newest four are kept.
- * @return whether any was not known.
+ * Adds crashes to @p to, also those seen by earlier boots of the node. Keeps
+ * the newest 4.
+ * @return true if any was new.
  */
 bool add_target_ends(member& to, const std::vector<target_end>& ends);
 
-/** The same for @p runs; the newest sixteen are kept. */
+/** Like `add_target_ends`, for @p runs; keeps the newest 16. */
 bool add_good_runs(member& to, const std::vector<good_run>& runs);
 
-/** Ends and good runs are told for as long as a call is ever held, so that
- * records stay small: each end may name 32 calls. */
+/** Retention of crashes and good runs in member records: as long as the longest
+ * quarantine of a call. Bounds the size of the records. */
 inline constexpr std::chrono::hours news_kept{24};
 
 /**
- * Forgets the ends and good runs from before @p oldest_ms, wall clock.
- * @return whether there were any.
+ * Removes crashes and good runs from before @p oldest_ms (Unix time).
+ * @return true if any was removed.
  */
 bool forget_news(member& of, std::uint64_t oldest_ms);
 
-/** @return whether calls may be sent to this member's target. */
+/** @return true if calls may be sent to this member's target. */
 bool takes_calls(const member& checked) noexcept;
 
 /**
- * @return whether this member is in a planned stop and its target still
- * serves: calls may be sent to it where no other takes them.
+ * @return true if this member is in a planned stop and its target still
+ * serves. Calls may be sent there if no other target takes them.
  */
 bool serves_while_leaving(const member& checked) noexcept;
 
-/** @return whether the member runs, as far as known (alive or leaving). */
+/** @return true if the member is alive or leaving. */
 bool is_live(const member& checked) noexcept;
 
-/** @return the compact JSON form, an array. */
+/** @return the compact JSON form: an array. */
 boost::json::value to_json(const member& sent);
 
 /** Reads the compact JSON form. */
 result<member> member_from_json(const boost::json::value& value);
 
-/** A shared record that nobody changes. */
+/** A shared immutable record. */
 using member_ptr = std::shared_ptr<const member>;
 
 /**
- * @return the key of a member: region, then failure domain, then the hash of
- * its address, so that a range of keys lies within few failure domains.
+ * @return the key of a member: hashes of region, failure domain and address,
+ * in this order, so that a key range spans few failure domains.
  */
 std::uint64_t key_of(const member& keyed);
 
-/** Low bits of a key that tell members of one failure domain apart. */
+/** Number of low key bits that hold the hash of the address. */
 inline constexpr int key_node_bits = 48;
 
-/** @return a hash of the whole record. */
+/** @return a hash of all fields of the record. */
 std::uint64_t hash_of(const member& hashed);
 
 } // namespace tillerhall
--- a/src/membership/member.cpp
+++ b/src/membership/member.cpp
@@ -18,7 +18,7 @@
 constexpr std::array<std::string_view, 3> target_state_names{
     "serving", "draining", "down"};
 
-/** Positions in the compact form. */
+/** Array indexes in the compact form. */
 enum field : std::size_t
 {
     rpc_address,
@@ -32,11 +32,11 @@
     target_is,
     state,
     incarnation,
-    field_count, ///< of the first format; what follows may be absent
+    field_count, ///< of the first format; all later fields are optional
     target_id = field_count,
     left_targets,
     link_mbps,
-    target_ends, ///< absent with what follows where there are none
+    target_ends, ///< written only if it or a later field is not empty
     good_runs,
     release
 };
@@ -46,7 +46,7 @@
     return {base.ip, json::value_to<std::uint16_t>(port)};
 }
 
-/** Reads a state number; one out of range throws, as a bad message. */
+/** Reads an enumerator; throws std::out_of_range if @p count is exceeded. */
 template <class Enum>
 Enum enum_from(const json::value& value, std::size_t count)
 {
@@ -101,8 +101,8 @@
     return std::tie(event.at_ms, event.call);
 }
 
-/** Adds what is missing; the same newest ones everywhere, in whatever order
- * they came. @return whether @p to changed. */
+/** Merges @p offered into @p to and keeps the newest. The result doesn't depend
+ * on the order of merges. @return true if @p to changed. */
 template <class Event>
 bool add_newest(std::vector<Event>& to,
                 const std::vector<Event>& offered,
@@ -158,7 +158,7 @@
                              return std::ranges::find(to.left_targets, id) ==
                                     to.left_targets.end();
                          });
-    // What the record itself tells is newer.
+    // Entries of the record itself are newer.
     to.left_targets.insert(to.left_targets.begin(), missing.begin(),
                            missing.end());
     if (to.left_targets.size() > most_kept)
@@ -285,8 +285,8 @@
 
 std::uint64_t key_of(const member& keyed)
 {
-    // Equal bits for two regions or domains only cost locality; 48 bits keep
-    // the keys of members apart.
+    // A collision of region or domain hashes only costs locality; the 48 bits
+    // of the address hash keep members' keys distinct.
     constexpr int name_bits = 8;
     const auto region = stable_hash(keyed.place.region) >> (64 - name_bits);
     const auto domain = stable_hash(keyed.place.domain) >> (64 - name_bits);
