--- a/src/membership/member.cpp
+++ b/src/membership/member.cpp
@@ -83,7 +83,7 @@
 }
 
 template <class Event>
-json::array list_of(const std::vector<Event>& events)
+json::array to_json_array(const std::vector<Event>& events)
 {
     json::array list;
     for (const auto& each : events)
@@ -91,12 +91,12 @@
     return list;
 }
 
-auto order_of(const target_end& event)
+auto sort_key(const target_end& event)
 {
     return std::tie(event.at_ms, event.target_id);
 }
 
-auto order_of(const good_run& event)
+auto sort_key(const good_run& event)
 {
     return std::tie(event.at_ms, event.call);
 }
@@ -113,7 +113,7 @@
                          [&](const Event& each)
                          { return std::ranges::find(to, each) == to.end(); });
     std::ranges::sort(all, {},
-                      [](const Event& each) { return order_of(each); });
+                      [](const Event& each) { return sort_key(each); });
     if (all.size() > most_kept)
         all.erase(all.begin(),
                   all.end() - static_cast<std::ptrdiff_t>(most_kept));
@@ -222,11 +222,12 @@
                       sent.target_id,
                       json::value_from(sent.left_targets),
                       sent.link_mbps};
-    const bool no_news = sent.target_ends.empty() && sent.good_runs.empty();
-    if (no_news && sent.release.empty())
+    const bool no_crash_data =
+        sent.target_ends.empty() && sent.good_runs.empty();
+    if (no_crash_data && sent.release.empty())
         return cells;
-    cells.push_back(list_of(sent.target_ends));
-    cells.push_back(list_of(sent.good_runs));
+    cells.push_back(to_json_array(sent.target_ends));
+    cells.push_back(to_json_array(sent.good_runs));
     if (!sent.release.empty())
         cells.push_back(json::string(sent.release));
     return cells;
