--- a/include/tillerhall/membership/member_list.hpp
+++ b/include/tillerhall/membership/member_list.hpp
@@ -1,4 +1,4 @@
-/** @file The member records a node holds, merged in any order. */
+/** @file The member records known to a node. */
 #pragma once
 
 #include "tillerhall/core/time.hpp"
@@ -13,31 +13,33 @@
 namespace tillerhall
 {
 
-/** A record with what orders it; both hashes are of the address alone. */
+/** A record with its sort keys. */
 struct keyed_member
 {
-    std::uint64_t key = 0;  ///< see `key_of`
-    std::uint64_t ring = 0; ///< its place on the ring of heartbeats
+    std::uint64_t key = 0; ///< see `key_of`
+    std::uint64_t ring =
+        0; ///< position on the heartbeat ring: hash of the address
     member_ptr record;
 };
 
-/** What merging a record did. */
+/** Effect of merging a record. */
 enum class merge_result
 {
     unchanged,
     changed,
-    refute ///< someone calls this node suspect or dead; it has raised itself
+    refute ///< another node marked this one suspect or dead; this node has
+           ///< raised its incarnation
 };
 
 /**
  * A map of records by control address. Merging is commutative, associative
- * and idempotent, so nodes that have seen the same records hold the same
- * list, in whatever order these came. Pure: no I/O, no clock.
+ * and idempotent: nodes that have merged the same records hold equal lists.
+ * Performs no I/O and reads no clock.
  */
 class member_list
 {
 public:
-    /** Records are digested in this many buckets to find what differs. */
+    /** Number of digest buckets by which two lists are compared. */
     static constexpr std::size_t bucket_count = 32;
     using bucket_digests = std::array<std::uint64_t, bucket_count>;
 
@@ -45,26 +47,26 @@
 
     const member& self() const noexcept;
 
-    /** Changes this node's own record and raises its incarnation. */
+    /** Updates this node's own record and raises its incarnation. */
     void update_self(member_state state, target_state target_is);
 
-    /** Replaces this node's own record, whose address stays, and raises its
-     * incarnation above that of @p changed if anything differs. */
+    /** Replaces this node's own record, except its address. If anything
+     * differs, the incarnation becomes greater than that of both records. */
     void replace_self(const member& changed);
 
-    /** Takes @p offered if it is newer than what is known. */
+    /** Stores @p offered if it is newer than the known record. */
     merge_result merge(const member& offered);
 
     /** Marks a node suspect or dead at its known incarnation. */
     merge_result accuse(const address& node, member_state as);
 
-    /** Drops records of nodes that are dead since before @p before. */
+    /** Removes records that have been dead since before @p before. */
     void forget_dead(time_point before);
 
     /**
-     * Notes when records changed, for `forget_dead`.
-     * @param oldest_news_ms wall clock; news of a record that was known is
-     * added to a newer record unless it is older
+     * Sets the time at which subsequent changes count as made.
+     * @param oldest_news_ms Unix time; when a newer record replaces a known
+     * one, crashes and good runs of the known one are carried over from then on
      */
     void set_now(time_point now, std::uint64_t oldest_news_ms = 0) noexcept
     {
@@ -72,41 +74,40 @@
         m_oldest_news_ms = oldest_news_ms;
     }
 
-    /** @return the record of @p node, valid until the next change, or null. */
+    /** @return the record of @p node or null; valid until the next change. */
     const member* find(const address& node) const noexcept;
 
-    /** @return every record, this node's included, in order of address. */
+    /** @return all records, this node's included, ordered by address. */
     std::vector<member> all() const;
 
     /**
-     * @return every record in order of key, without copying them. Built anew
-     * after a change; valid until the next one.
+     * @return all records ordered by key, without copying them. Rebuilt after a
+     * change; valid until the next one.
      */
     const std::vector<keyed_member>& ordered() const;
 
-    /** @return members neither suspect nor dead, this node included. */
+    /** @return the number of alive or leaving members, this node included. */
     std::size_t live_count() const noexcept;
 
-    /** @return services and places ever heard of; they are not forgotten. */
+    /** @return all services and places ever seen; they are never removed. */
     const std::set<std::string>& services() const noexcept
     {
         return m_services;
     }
     const std::set<std::string>& places() const noexcept { return m_places; }
 
-    /** Learns names without a record, as sent by a peer at joining. */
+    /** Adds names received without a record, as in the answer to a join. */
     void learn_names(const std::set<std::string>& services,
                      const std::set<std::string>& places);
 
-    /** @return one number that is equal on nodes with equal lists. */
+    /** @return a digest of all records that are not dead. */
     std::uint64_t digest() const noexcept;
 
     const bucket_digests& buckets() const noexcept { return m_buckets; }
 
-    /** @return the records in bucket @p index. */
     std::vector<member> bucket(std::size_t index) const;
 
-    /** @return a number that grows with every change. */
+    /** @return a counter that grows with every change. */
     std::uint64_t change_count() const noexcept { return m_changes; }
 
 private:
@@ -132,7 +133,7 @@
     time_point m_now{};
     std::uint64_t m_changes = 0;
     mutable std::vector<keyed_member> m_ordered;
-    mutable std::uint64_t m_ordered_at = 0; ///< change count it was built at
+    mutable std::uint64_t m_ordered_at = 0; ///< change count at the last build
 };
 
 } // namespace tillerhall
--- a/src/membership/member_list.cpp
+++ b/src/membership/member_list.cpp
@@ -43,11 +43,11 @@
     const auto* known = find(offered.rpc);
     if (known != nullptr && !supersedes(offered, *known))
         return merge_result::unchanged;
-    // A dead record of a forgotten node would come and go for ever.
+    // Else a removed dead record would be reintroduced by peers for ever.
     if (known == nullptr && offered.state == member_state::dead)
         return merge_result::unchanged;
     auto taken = offered;
-    // A new boot may not know yet what its earlier one told.
+    // A new boot may not know yet what its earlier boot reported.
     if (known != nullptr)
     {
         add_left_targets(taken, known->left_targets);
@@ -61,7 +61,8 @@
 
 merge_result member_list::merge_self(const member& offered)
 {
-    // Only this node writes its own record: raise it above the other one.
+    // Only this node writes its own record, so its incarnation must exceed that
+    // of any other version of the record.
     auto raised = self();
     const bool accused = supersedes(offered, raised);
     const bool left = add_left_targets(raised, offered.left_targets);
@@ -165,7 +166,7 @@
     auto& kept = m_entries[stored.rpc];
     auto& bucket_digest = m_buckets[bucket_of(stored.rpc)];
     bucket_digest ^= kept.hash; // 0 for a new entry
-    // Dead records count for nothing: nodes forget them at different times.
+    // Dead records are excluded: nodes remove them at different times.
     const bool counts = stored.state != member_state::dead;
     if (!kept.record)
         kept.ring = stable_hash(stored.rpc.text());
