--- a/include/tillerhall/membership/member_list.hpp
+++ b/include/tillerhall/membership/member_list.hpp
@@ -65,13 +65,13 @@
 
     /**
      * Sets the time at which subsequent changes count as made.
-     * @param oldest_news_ms Unix time; when a newer record replaces a known
+     * @param oldest_evidence_ms Unix time; when a newer record replaces a known
      * one, crashes and good runs of the known one are carried over from then on
      */
-    void set_now(time_point now, std::uint64_t oldest_news_ms = 0) noexcept
+    void set_now(time_point now, std::uint64_t oldest_evidence_ms = 0) noexcept
     {
         m_now = now;
-        m_oldest_news_ms = oldest_news_ms;
+        m_oldest_evidence_ms = oldest_evidence_ms;
     }
 
     /** @return the record of @p node or null; valid until the next change. */
@@ -129,7 +129,7 @@
     bucket_digests m_buckets{};
     std::set<std::string> m_services;
     std::set<std::string> m_places;
-    std::uint64_t m_oldest_news_ms = 0;
+    std::uint64_t m_oldest_evidence_ms = 0;
     time_point m_now{};
     std::uint64_t m_changes = 0;
     mutable std::vector<keyed_member> m_ordered;
--- a/src/membership/member_list.cpp
+++ b/src/membership/member_list.cpp
@@ -53,7 +53,7 @@
         add_left_targets(taken, known->left_targets);
         add_target_ends(taken, known->target_ends);
         add_good_runs(taken, known->good_runs);
-        forget_news(taken, m_oldest_news_ms);
+        forget_news(taken, m_oldest_evidence_ms);
     }
     store(taken);
     return merge_result::changed;
