--- a/include/tillerhall/membership/rumor_queue.hpp
+++ b/include/tillerhall/membership/rumor_queue.hpp
@@ -1,4 +1,4 @@
-/** @file News about members that heartbeats carry along. */
+/** @file Member records to piggyback on heartbeats. */
 #pragma once
 
 #include "tillerhall/membership/member_list.hpp"
@@ -10,9 +10,9 @@
 {
 
 /**
- * Addresses whose records are news. Each is sent 2 log2 N times and then
- * dropped, the least sent first (SWIM, Das et al., DSN 2002, section 4.1).
- * What that misses, the comparison of digests repairs.
+ * Addresses whose records are to be disseminated. Each is sent 2 log2 N times,
+ * least sent first, and then removed (SWIM, Das et al., DSN 2002, section
+ * 4.1). Members that miss a rumor are repaired by comparing digests.
  */
 class rumor_queue
 {
@@ -20,7 +20,7 @@
     static constexpr std::size_t per_message = 8;
     static constexpr unsigned repeat_factor = 2;
 
-    /** Starts or restarts the spreading of @p node 's record. */
+    /** Starts or restarts the dissemination of @p node 's record. */
     void add(const address& node);
 
     /** @return the records for the next message. */
