--- a/include/tillerhall/membership/suspicion.hpp
+++ b/include/tillerhall/membership/suspicion.hpp
@@ -1,4 +1,4 @@
-/** @file From a missed heartbeat over suspicion to death, or back. */
+/** @file Failure detection: suspicion and death of members. */
 #pragma once
 
 #include "tillerhall/membership/member_list.hpp"
@@ -9,18 +9,17 @@
 namespace tillerhall
 {
 
-/** Timing of suspicion. */
 struct suspicion_limits
 {
     duration suspect_for = std::chrono::seconds(3);
 };
 
 /**
- * Turns failed heartbeats into suspicion and suspicion into death after a
- * time in which the suspect may refute. A node that answers little itself
- * accuses slowly: each of its own failures in a row stretches the time, so a
- * node whose own network fails does not bury the mesh (Lifeguard, Dadgar et
- * al., DSN 2018). Pure.
+ * Marks a member suspect after a failed heartbeat, and dead if it doesn't
+ * refute within a timeout. The timeout is multiplied by the number of
+ * consecutive heartbeats of this node that failed, so that a node with a
+ * faulty network doesn't declare the whole mesh dead (Lifeguard, Dadgar et
+ * al., DSN 2018). Performs no I/O and reads no clock.
  */
 class suspicion
 {
@@ -32,13 +31,17 @@
     {
     }
 
-    /** A heartbeat to @p node got no answer. @return whether it is news. */
+    /** Records a failed heartbeat. @return true if @p node became suspect. */
     bool failed(member_list& members, const address& node, time_point now);
 
-    /** A heartbeat to @p node was answered. */
+    /** Records an answered heartbeat. */
     void answered(const address& node);
 
-    /** Notes suspicions learned from others and buries those overdue. */
+    /**
+     * Starts the timeout of suspects reported by others and marks those dead
+     * whose timeout has passed.
+     * @return the members that were marked dead
+     */
     std::vector<address> expire(member_list& members, time_point now);
 
 private:
--- a/src/membership/suspicion.cpp
+++ b/src/membership/suspicion.cpp
@@ -32,7 +32,7 @@
 std::vector<address> suspicion::expire(member_list& members, time_point now)
 {
     std::vector<address> buried;
-    const auto records = members.ordered(); // accusing changes the list
+    const auto records = members.ordered(); // copied: accuse() changes it
     for (const auto& kept : records)
     {
         const auto& each = *kept.record;
