--- a/include/tillerhall/membership/suspicion.hpp
+++ b/include/tillerhall/membership/suspicion.hpp
@@ -11,7 +11,7 @@
 
 struct suspicion_limits
 {
-    duration suspect_for = std::chrono::seconds(3);
+    duration timeout = std::chrono::seconds(3);
 };
 
 /**
@@ -24,7 +24,7 @@
 class suspicion
 {
 public:
-    static constexpr unsigned most_stretch = 8;
+    static constexpr unsigned max_timeout_factor = 8;
 
     explicit suspicion(suspicion_limits limits = {})
         : m_limits(limits)
@@ -45,11 +45,11 @@
     std::vector<address> expire(member_list& members, time_point now);
 
 private:
-    duration patience() const;
+    duration timeout() const;
 
     suspicion_limits m_limits;
-    std::map<address, time_point> m_since;
-    unsigned m_failures_in_row = 0;
+    std::map<address, time_point> m_suspected_at;
+    unsigned m_consecutive_failures = 0;
 };
 
 } // namespace tillerhall
