--- a/include/tillerhall/node/membership_controller.hpp
+++ b/include/tillerhall/node/membership_controller.hpp
@@ -1,4 +1,4 @@
-/** @file Keeps this node's list of members true, and joins the mesh. */
+/** @file Maintains this node's member list and joins the mesh. */
 #pragma once
 
 #include "tillerhall/core/backoff.hpp"
@@ -17,48 +17,50 @@
 namespace tillerhall
 {
 
-/** Heartbeats, joining, leaving and learning the present after a pause. */
+/**
+ * Sends and answers heartbeats, joins and leaves the mesh, and synchronizes
+ * with peers after a pause of the process. Used on the first worker only.
+ */
 class membership_controller
 {
 public:
-    /** Peers that a joining or resuming node asks. */
+    /** Number of peers that a joining or resuming node asks. */
     static constexpr std::size_t peers_asked = 3;
 
     membership_controller(mesh_state& mesh, distribution_controller& tables);
 
-    /** Adds the control methods for heartbeats, joins and news. */
+    /** Registers the control methods of membership with the RPC server. */
     void add_methods();
 
-    /** Starts the heartbeat loop. */
     void start();
 
     /**
-     * Asks @p peers in their order for the members and the table, until
-     * @p most_answers of them answered.
-     * @return whether any of them did.
+     * Requests the members and the table from @p peers in order, until
+     * @p most_answers of them have answered.
+     * @return true if any of them answered.
      */
     bool join_through(const std::vector<address>& peers,
                       std::size_t most_answers = peers_asked);
 
-    /** Tells everyone at once that this node's state or target changed. */
+    /** Announces a change of this node's state or target to all members. */
     void announce_self(member_state state, target_state target_is);
 
-    /** Takes @p changed as this node's own record and tells everyone. */
+    /** Replaces this node's own record and announces it to all members. */
     void announce_self(const member& changed);
 
     /**
-     * Tells @p peer this node's own record.
-     * @return whether it has taken it.
+     * Sends this node's own record to @p peer.
+     * @return true if the peer acknowledged it.
      */
     bool tell(const address& peer);
 
-    /** Takes records that were read from the store. */
+    /** Merges records that were read from the store. */
     void learn(const std::vector<member>& records);
 
-    /** A connection of this node's own to @p node failed. */
+    /** Records a failed connection to @p node. */
     void connect_failed(const address& node);
 
-    /** Adds hosts that a list names and nobody here has heard of. */
+    /** Schedules heartbeats to those of @p hosts that are no known members. */
     void hint(const std::vector<address>& hosts);
 
     source_freshness& freshness() noexcept { return m_freshness; }
@@ -81,7 +83,7 @@
     void resume();
     void bury_overdue();
     void forget_own_news();
-    /** Whether a record that is news here is passed on with heartbeats. */
+    /** Whether a changed record is passed on with heartbeats. */
     enum class spreading
     {
         none,
@@ -94,15 +96,15 @@
                    spreading spread);
     void tell_of_join(const address& joiner);
     /**
-     * Tells all members. In a large mesh by way of the gatherer of this failure
-     * domain, which takes the news of a moment along in one broadcast: when all
-     * start at once, N nodes would else each be sent N messages.
+     * Sends @p news to all members. In a large mesh one member of each failure
+     * domain collects them and broadcasts batches. Guards against N messages to
+     * each of N nodes when all nodes start at the same time.
      */
     void tell_all(const std::vector<member>& news);
-    /** @return who gathers news here; nothing where a broadcast takes no more
-     * than two steps. */
+    /** @return the member that batches announcements of this failure domain, or
+     * nullopt if a broadcast takes at most two hops. */
     std::optional<address> gatherer() const;
-    /** Broadcasts @p news soon, with what else is news by then. */
+    /** Adds @p news to the batch, which is broadcast after `gathering_time`. */
     void gather(const std::vector<member>& news);
     duration gathering_time() const;
     void broadcast(const announce_message& message);
@@ -116,8 +118,9 @@
     token_bucket m_syncs;
     token_bucket m_refutations;
     std::map<address, std::uint64_t> m_versions_seen;
-    std::map<address, std::uint64_t> m_verified; ///< incarnation that answered
-    std::set<address> m_gathered;                ///< of whom all will be told
+    std::map<address, std::uint64_t> m_verified; ///< incarnation that confirmed
+                                                 ///< its address
+    std::set<address> m_gathered;                ///< to be broadcast
     std::vector<address> m_hints;
     unsigned m_differences_in_row = 0;
 };
--- a/src/node/membership_controller.cpp
+++ b/src/node/membership_controller.cpp
@@ -15,13 +15,14 @@
 constexpr double refutation_burst = 3;
 constexpr double syncs_per_s = 0.5;
 constexpr double sync_burst = 2;
-// Rumors need a few rounds; only a lasting difference is worth a sync.
+// Rumors take a few rounds to spread; a sync repairs what they missed.
 constexpr unsigned differences_before_sync = 3;
 constexpr int pause_heartbeats = 4;
 constexpr milliseconds least_pause(2000);
 constexpr std::chrono::minutes dead_kept(10);
-// Others forget news sooner than the node that tells them, whose clock may
-// differ: they would add to its newer record what it has just forgotten.
+// Peers drop crashes and good runs earlier than the node that reports them,
+// whose clock may differ. Else they would add entries that this node has just
+// removed to its newer record.
 constexpr duration news_taken = news_kept - std::chrono::minutes(1);
 
 } // namespace
@@ -63,7 +64,7 @@
 {
     while (true)
     {
-        // Up to a tenth of jitter, so that nodes do not beat in step.
+        // Jitter of 10 % keeps nodes from sending in lockstep.
         const auto base = m_mesh.config.heartbeat_ms;
         const auto jitter = static_cast<std::int64_t>(
             m_mesh.random.below(static_cast<std::uint64_t>(base / 10 + 1)));
@@ -93,10 +94,10 @@
         return;
     const auto before = board.phase.exchange(node_phase::resuming);
     board.decisions.note("resuming", m_mesh.members.self().rpc.text(),
-                         "this process did not run for a while",
+                         "the process was paused",
                          {{"quiet_ms", board.control.quiet_ms()}});
-    // Nothing is acted on before a peer has told the present; alone in the
-    // mesh there is nobody who could know better.
+    // The node stays in this phase until a peer has sent the current state. A
+    // node that is alone in the mesh has no peer to ask.
     while (m_mesh.members.live_count() > 1)
     {
         const auto asked = some_peers(peers_asked);
@@ -107,7 +108,7 @@
         sleep_for(m_mesh.on.io(), milliseconds(m_mesh.config.heartbeat_ms));
         bury_overdue();
     }
-    // A stop that was asked for meanwhile stays in force.
+    // A stop that was requested meanwhile stays in force.
     auto resuming = node_phase::resuming;
     board.phase.compare_exchange_strong(resuming, before);
 }
@@ -190,15 +191,15 @@
 void membership_controller::found_alias(const address& node,
                                         const std::string& real)
 {
-    // The process there goes by another address now, so that record is of
-    // one that is gone.
+    // The process there advertises another address now, so the record belongs
+    // to a process that has ended.
     if (m_mesh.members.accuse(node, member_state::dead) !=
         merge_result::changed)
         return;
     m_mesh.rumors.add(node);
     m_tables.members_changed();
     m_mesh.board.decisions.note("found_dead", node.text(),
-                                "the process there calls itself " + real);
+                                "the process there advertises " + real);
 }
 
 void membership_controller::bury_overdue()
@@ -209,7 +210,7 @@
         m_mesh.rumors.add(each);
         m_tables.members_changed();
         m_mesh.board.decisions.note("found_dead", each.text(),
-                                    "a suspect that did not refute");
+                                    "suspect did not refute in time");
     }
     m_mesh.members.forget_dead(now - dead_kept);
     std::erase_if(m_verified, [this](const auto& each)
@@ -247,7 +248,7 @@
     if (!peer)
         return {{"e", name_of(peer.reason().code())},
                 {"d", peer.reason().detail()}};
-    // What the sender says of itself comes first, so it is known below.
+    // Merges the sender's own record first, so that it is found below.
     heard(message, *peer);
     auto answer = own_message();
     if (message.asks_identity)
@@ -273,7 +274,7 @@
     const auto* record = m_mesh.members.find(peer);
     if (record == nullptr)
         return false;
-    // A range that holds only the peer: it passes the record on to nobody.
+    // The range holds only the peer, so it forwards the record to nobody.
     const auto key = key_of(*record);
     const auto params =
         to_json(announce_message{{m_mesh.members.self()}, key_range{key, key}});
@@ -327,8 +328,8 @@
     const auto merged = m_mesh.members.merge(record);
     if (merged == merge_result::unchanged)
         return;
-    // What a broadcast, a join or a sync told is known to most already; only
-    // what travels by heartbeats, and a refutation, needs to be passed on.
+    // Records from a broadcast, a join or a sync are known to most members;
+    // only those from heartbeats, and refutations, are passed on.
     if (spread == spreading::by_rumor || merged == merge_result::refute)
         m_mesh.rumors.add(record.rpc);
     m_tables.members_changed();
@@ -344,11 +345,12 @@
 
 void membership_controller::refute(const member& accusation)
 {
-    m_mesh.board.decisions.note("refuted", accusation.rpc.text(),
-                                "others took this node for gone",
-                                {{"state", name_of(accusation.state)}});
-    // Rumors alone are not enough after a pause: the answers to heartbeats
-    // whose senders have long given up would use them up.
+    m_mesh.board.decisions.note(
+        "refuted", accusation.rpc.text(),
+        "another node reported this node suspect or dead",
+        {{"state", name_of(accusation.state)}});
+    // Rumors don't suffice after a pause: they would be spent on answers to
+    // heartbeats whose senders have timed out.
     if (m_refutations.take(steady_clock::now()))
         broadcast({{m_mesh.members.self()}, key_range{}});
 }
--- a/src/node/membership_joining.cpp
+++ b/src/node/membership_joining.cpp
@@ -1,4 +1,4 @@
-/** @file The joining and syncing part of the membership controller. */
+/** @file Membership controller: joining and anti-entropy synchronization. */
 #include "tillerhall/node/membership_controller.hpp"
 
 #include <algorithm>
@@ -84,7 +84,7 @@
             break;
         if (peer == m_mesh.members.self().rpc)
             continue;
-        // One of them is enough to tell the others.
+        // One peer is enough to announce this node to the others.
         const join_request request{m_mesh.members.self(), answers.empty()};
         const auto answer =
             m_mesh.pool.call({peer, traffic_kind::membership, method::join,
@@ -96,16 +96,17 @@
         }
         catch (const std::exception&)
         {
-            continue; // another peer may speak a message we understand
+            continue; // another peer may send a well-formed answer
         }
     }
-    // The greatest version first: the others then have nothing to add.
+    // Greatest version first, so that the others need not be pulled from.
     std::ranges::sort(answers, std::greater<>(),
                       [](const joined& each) { return each.answer.version; });
     for (const auto& [peer, answer] : answers)
     {
         m_mesh.members.learn_names(answer.services, answer.places);
-        // First, so that no member is met without what its release may get.
+        // Before the members, so that limits on a release's exposure are known
+        // when its targets are.
         if (m_mesh.rollouts_heard && !answer.rollouts.empty())
             m_mesh.rollouts_heard(answer.rollouts);
         merge_all(answer.members, "join", spreading::none);
--- a/src/node/membership_telling.cpp
+++ b/src/node/membership_telling.cpp
@@ -1,4 +1,4 @@
-/** @file The part of the membership controller that tells all members. */
+/** @file Membership controller: broadcast of member records. */
 #include "tillerhall/distribution/reader_choice.hpp"
 #include "tillerhall/node/membership_controller.hpp"
 #include "tillerhall/node/range_send.hpp"
@@ -14,11 +14,11 @@
 namespace json = boost::json;
 
 constexpr milliseconds announce_timeout(700);
-// News of this long is told in one broadcast: a herd that returns costs each
-// node each record once, where rumors would cost it a dozen times.
+// Announcements within this time share a broadcast. When many nodes start at
+// once each node receives each record once, instead of many times as a rumor.
 constexpr milliseconds least_gathering(100);
-// At a thousand members a quarter of a second: each node is then sent four
-// messages a second from each domain, however many start at once.
+// Delay per member: bounds the messages that each node receives a second from
+// one failure domain, however many nodes start at once.
 constexpr std::chrono::microseconds gathering_a_member(250);
 
 } // namespace
@@ -74,7 +74,7 @@
     for (const auto& each : news)
         m_gathered.insert(each.rpc);
     if (is_due)
-        return; // the broadcast for the first one will take it along
+        return; // part of the broadcast that is already scheduled
     m_mesh.on.spawn(
         [this]
         {
