--- a/include/tillerhall/node/membership_controller.hpp
+++ b/include/tillerhall/node/membership_controller.hpp
@@ -75,7 +75,8 @@
     void heartbeat_loop();
     void send_heartbeat();
     heartbeat_message own_message();
-    void heard(const heartbeat_message& message, const address& peer);
+    void handle_heartbeat(const heartbeat_message& message,
+                          const address& peer);
     void found_alias(const address& node, const std::string& real);
     void refute(const member& accusation);
     void pass_on_newer(const sync_answer& theirs);
@@ -96,16 +97,17 @@
                    spreading spread);
     void tell_of_join(const address& joiner);
     /**
-     * Sends @p news to all members. In a large mesh one member of each failure
-     * domain collects them and broadcasts batches. Guards against N messages to
-     * each of N nodes when all nodes start at the same time.
+     * Sends @p records to all members. In a large mesh one member of each
+     * failure domain collects them and broadcasts batches. Guards against N
+     * messages to each of N nodes when all nodes start at the same time.
      */
-    void tell_all(const std::vector<member>& news);
+    void tell_all(const std::vector<member>& records);
     /** @return the member that batches announcements of this failure domain, or
      * nullopt if a broadcast takes at most two hops. */
     std::optional<address> gatherer() const;
-    /** Adds @p news to the batch, which is broadcast after `gathering_time`. */
-    void gather(const std::vector<member>& news);
+    /** Adds @p records to the batch, which is broadcast after `gathering_time`.
+     */
+    void add_to_batch(const std::vector<member>& records);
     duration gathering_time() const;
     void broadcast(const announce_message& message);
     std::vector<address> some_peers(std::size_t count);
--- a/include/tillerhall/node/messages.hpp
+++ b/include/tillerhall/node/messages.hpp
@@ -49,7 +49,7 @@
     /** Milliseconds since a read of the source that anyone told of; -1 none. */
     std::int64_t source_age_ms = -1;
     bool sender_unknown = false; ///< in an answer: send me your record
-    std::vector<member> news;
+    std::vector<member> rumors;
     std::vector<rollout_record> rollouts;
 };
 
--- a/src/node/membership_controller.cpp
+++ b/src/node/membership_controller.cpp
@@ -15,7 +15,7 @@
 constexpr double refutation_burst = 3;
 constexpr double syncs_per_s = 0.5;
 constexpr double sync_burst = 2;
-// Rumors take a few rounds to spread; a sync repairs what they missed.
+// Rumors take a few rounds to reach all; a sync repairs what they missed.
 constexpr unsigned differences_before_sync = 3;
 constexpr int pause_heartbeats = 4;
 constexpr milliseconds least_pause(2000);
@@ -132,7 +132,7 @@
     message.routes_version = m_mesh.board.call_map.get()->version();
     message.members_digest = m_mesh.members.digest();
     message.source_age_ms = m_freshness.age_ms(steady_clock::now());
-    message.news = m_mesh.rumors.take(m_mesh.members);
+    message.rumors = m_mesh.rumors.take(m_mesh.members);
     if (m_mesh.rollouts_told)
         message.rollouts = m_mesh.rollouts_told();
     return message;
@@ -169,7 +169,7 @@
         m_verified[*peer] = incarnation;
         if (read.sender_unknown)
             m_mesh.rumors.add(m_mesh.members.self().rpc);
-        heard(read, *peer);
+        handle_heartbeat(read, *peer);
     }
     catch (const std::exception&)
     {
@@ -219,10 +219,10 @@
                   { return m_mesh.members.find(seen.first) == nullptr; });
 }
 
-void membership_controller::heard(const heartbeat_message& message,
-                                  const address& peer)
+void membership_controller::handle_heartbeat(const heartbeat_message& message,
+                                             const address& peer)
 {
-    merge_all(message.news, "heartbeat", spreading::by_rumor);
+    merge_all(message.rumors, "heartbeat", spreading::by_rumor);
     m_freshness.heard(message.source_age_ms, steady_clock::now());
     auto& seen = m_versions_seen[peer];
     seen = std::max(seen, message.version);
@@ -231,7 +231,7 @@
         m_mesh.routes_heard(message.routes_version, peer);
     if (m_mesh.rollouts_heard && !message.rollouts.empty())
         m_mesh.rollouts_heard(message.rollouts);
-    const bool quiet = message.news.empty() && m_mesh.rumors.size() == 0;
+    const bool quiet = message.rumors.empty() && m_mesh.rumors.size() == 0;
     const bool differs = message.members_digest != m_mesh.members.digest();
     m_differences_in_row = differs && quiet ? m_differences_in_row + 1 : 0;
     if (m_differences_in_row < differences_before_sync ||
@@ -249,14 +249,14 @@
         return {{"e", name_of(peer.reason().code())},
                 {"d", peer.reason().detail()}};
     // Merges the sender's own record first, so that it is found below.
-    heard(message, *peer);
+    handle_heartbeat(message, *peer);
     auto answer = own_message();
     if (message.asks_identity)
         answer.from = m_mesh.members.self().rpc.text();
     answer.sender_unknown = m_mesh.members.find(*peer) == nullptr;
     const auto* known = m_mesh.members.find(*peer);
     if (known != nullptr && !is_live(*known))
-        answer.news.push_back(*known); // so that it can refute
+        answer.rumors.push_back(*known); // so that it can refute
     return to_json(answer);
 }
 
--- a/src/node/membership_joining.cpp
+++ b/src/node/membership_joining.cpp
@@ -148,7 +148,7 @@
     if (gatherer())
         tell_all({*record});
     else
-        gather({*record});
+        add_to_batch({*record});
 }
 
 } // namespace tillerhall
--- a/src/node/membership_telling.cpp
+++ b/src/node/membership_telling.cpp
@@ -37,20 +37,20 @@
     return own.rpc;
 }
 
-void membership_controller::tell_all(const std::vector<member>& news)
+void membership_controller::tell_all(const std::vector<member>& records)
 {
     const auto by = gatherer();
     if (!by)
-        return broadcast({news, key_range{}});
+        return broadcast({records, key_range{}});
     if (*by == m_mesh.members.self().rpc)
-        return gather(news);
+        return add_to_batch(records);
     m_mesh.on.spawn(
-        [this, news, by = *by]
+        [this, records, by = *by]
         {
-            const auto params = to_json(announce_message{news, key_range{}});
+            const auto params = to_json(announce_message{records, key_range{}});
             if (!m_mesh.pool.call({by, traffic_kind::membership, method::gather,
                                    params, announce_timeout}))
-                broadcast({news, key_range{}});
+                broadcast({records, key_range{}});
         });
 }
 
@@ -58,7 +58,7 @@
 {
     const auto message = announce_from_json(params);
     merge_all(message.records, "announcement", spreading::none);
-    gather(message.records);
+    add_to_batch(message.records);
     return {};
 }
 
@@ -68,10 +68,10 @@
     return std::max<duration>(least_gathering, gathering_a_member * members);
 }
 
-void membership_controller::gather(const std::vector<member>& news)
+void membership_controller::add_to_batch(const std::vector<member>& records)
 {
     const bool is_due = !m_gathered.empty();
-    for (const auto& each : news)
+    for (const auto& each : records)
         m_gathered.insert(each.rpc);
     if (is_due)
         return; // part of the broadcast that is already scheduled
--- a/src/node/messages.cpp
+++ b/src/node/messages.cpp
@@ -133,8 +133,8 @@
         members["q"] = 1;
     if (sent.sender_unknown)
         members["u"] = 1;
-    if (!sent.news.empty())
-        members["r"] = records_to_json(sent.news);
+    if (!sent.rumors.empty())
+        members["r"] = records_to_json(sent.rumors);
     put_rollouts(members, sent.rollouts);
     return members;
 }
@@ -149,7 +149,7 @@
     read.source_age_ms = value_or<std::int64_t>(members, "a", -1);
     read.asks_identity = members.contains("q");
     read.sender_unknown = members.contains("u");
-    read.news = records_from(members.if_contains("r"));
+    read.rumors = records_from(members.if_contains("r"));
     read.rollouts = rollouts_from(members);
     return read;
 }
