--- a/include/tillerhall/node/membership_controller.hpp
+++ b/include/tillerhall/node/membership_controller.hpp
@@ -36,11 +36,11 @@
 
     /**
      * Requests the members and the table from @p peers in order, until
-     * @p most_answers of them have answered.
+     * @p max_answers of them have answered.
      * @return true if any of them answered.
      */
     bool join_through(const std::vector<address>& peers,
-                      std::size_t most_answers = peers_asked);
+                      std::size_t max_answers = peers_asked);
 
     /** Announces a change of this node's state or target to all members. */
     void announce_self(member_state state, target_state target_is);
@@ -61,7 +61,7 @@
     void connect_failed(const address& node);
 
     /** Schedules heartbeats to those of @p hosts that are no known members. */
-    void hint(const std::vector<address>& hosts);
+    void contact_unknown(const std::vector<address>& hosts);
 
     source_freshness& freshness() noexcept { return m_freshness; }
 
@@ -74,57 +74,57 @@
 
     void heartbeat_loop();
     void send_heartbeat();
-    heartbeat_message own_message();
+    heartbeat_message make_heartbeat();
     void handle_heartbeat(const heartbeat_message& message,
                           const address& peer);
-    void found_alias(const address& node, const std::string& real);
+    void mark_replaced(const address& node, const std::string& advertised);
     void refute(const member& accusation);
-    void pass_on_newer(const sync_answer& theirs);
+    void spread_newer_records(const sync_answer& theirs);
     void sync_with(const address& peer);
     void resume();
-    void bury_overdue();
-    void forget_own_news();
+    void expire_suspects();
+    void forget_own_evidence();
     /** Whether a changed record is passed on with heartbeats. */
-    enum class spreading
+    enum class propagation
     {
         none,
         by_rumor
     };
 
-    void merge(const member& record, const char* source, spreading spread);
+    void merge(const member& record, const char* source, propagation propagate);
     void merge_all(const std::vector<member>& records,
                    const char* source,
-                   spreading spread);
-    void tell_of_join(const address& joiner);
+                   propagation propagate);
+    void announce_join(const address& joiner);
     /**
      * Sends @p records to all members. In a large mesh one member of each
      * failure domain collects them and broadcasts batches. Guards against N
      * messages to each of N nodes when all nodes start at the same time.
      */
-    void tell_all(const std::vector<member>& records);
+    void announce_to_all(const std::vector<member>& records);
     /** @return the member that batches announcements of this failure domain, or
      * nullopt if a broadcast takes at most two hops. */
-    std::optional<address> gatherer() const;
-    /** Adds @p records to the batch, which is broadcast after `gathering_time`.
+    std::optional<address> batching_member() const;
+    /** Adds @p records to the batch, which is broadcast after `batch_delay`.
      */
     void add_to_batch(const std::vector<member>& records);
-    duration gathering_time() const;
+    duration batch_delay() const;
     void broadcast(const announce_message& message);
-    std::vector<address> some_peers(std::size_t count);
+    std::vector<address> random_peers(std::size_t count);
 
     mesh_state& m_mesh;
     distribution_controller& m_tables;
     heartbeat_schedule m_schedule;
     suspicion m_suspicion;
     source_freshness m_freshness;
-    token_bucket m_syncs;
-    token_bucket m_refutations;
+    token_bucket m_sync_limiter;
+    token_bucket m_refutation_limiter;
     std::map<address, std::uint64_t> m_versions_seen;
     std::map<address, std::uint64_t> m_verified; ///< incarnation that confirmed
                                                  ///< its address
-    std::set<address> m_gathered;                ///< to be broadcast
-    std::vector<address> m_hints;
-    unsigned m_differences_in_row = 0;
+    std::set<address> m_batch;                   ///< to be broadcast
+    std::vector<address> m_unknown_hosts;
+    unsigned m_consecutive_differences = 0;
 };
 
 } // namespace tillerhall
--- a/src/node/membership_telling.cpp
+++ b/src/node/membership_broadcast.cpp
@@ -16,14 +16,14 @@
 constexpr milliseconds announce_timeout(700);
 // Announcements within this time share a broadcast. When many nodes start at
 // once each node receives each record once, instead of many times as a rumor.
-constexpr milliseconds least_gathering(100);
+constexpr milliseconds min_batch_delay(100);
 // Delay per member: bounds the messages that each node receives a second from
 // one failure domain, however many nodes start at once.
-constexpr std::chrono::microseconds gathering_a_member(250);
+constexpr std::chrono::microseconds batch_delay_per_member(250);
 
 } // namespace
 
-std::optional<address> membership_controller::gatherer() const
+std::optional<address> membership_controller::batching_member() const
 {
     const auto fanout = static_cast<std::size_t>(m_mesh.config.fanout);
     const auto in_two_steps = 1 + fanout + fanout * fanout;
@@ -37,19 +37,19 @@
     return own.rpc;
 }
 
-void membership_controller::tell_all(const std::vector<member>& records)
+void membership_controller::announce_to_all(const std::vector<member>& records)
 {
-    const auto by = gatherer();
-    if (!by)
+    const auto batcher = batching_member();
+    if (!batcher)
         return broadcast({records, key_range{}});
-    if (*by == m_mesh.members.self().rpc)
+    if (*batcher == m_mesh.members.self().rpc)
         return add_to_batch(records);
     m_mesh.on.spawn(
-        [this, records, by = *by]
+        [this, records, batcher = *batcher]
         {
             const auto params = to_json(announce_message{records, key_range{}});
-            if (!m_mesh.pool.call({by, traffic_kind::membership, method::gather,
-                                   params, announce_timeout}))
+            if (!m_mesh.pool.call({batcher, traffic_kind::membership,
+                                   method::gather, params, announce_timeout}))
                 broadcast({records, key_range{}});
         });
 }
@@ -57,33 +57,34 @@
 json::object membership_controller::on_gather(const json::object& params)
 {
     const auto message = announce_from_json(params);
-    merge_all(message.records, "announcement", spreading::none);
+    merge_all(message.records, "announcement", propagation::none);
     add_to_batch(message.records);
     return {};
 }
 
-duration membership_controller::gathering_time() const
+duration membership_controller::batch_delay() const
 {
     const auto members = static_cast<std::int64_t>(m_mesh.members.live_count());
-    return std::max<duration>(least_gathering, gathering_a_member * members);
+    return std::max<duration>(min_batch_delay,
+                              batch_delay_per_member * members);
 }
 
 void membership_controller::add_to_batch(const std::vector<member>& records)
 {
-    const bool is_due = !m_gathered.empty();
+    const bool is_scheduled = !m_batch.empty();
     for (const auto& each : records)
-        m_gathered.insert(each.rpc);
-    if (is_due)
+        m_batch.insert(each.rpc);
+    if (is_scheduled)
         return; // part of the broadcast that is already scheduled
     m_mesh.on.spawn(
         [this]
         {
-            sleep_for(m_mesh.on.io(), gathering_time());
+            sleep_for(m_mesh.on.io(), batch_delay());
             announce_message message;
-            for (const auto& each : m_gathered)
+            for (const auto& each : m_batch)
                 if (const auto* record = m_mesh.members.find(each))
                     message.records.push_back(*record);
-            m_gathered.clear();
+            m_batch.clear();
             broadcast(message);
         });
 }
@@ -105,7 +106,7 @@
         return {{"e", name_of(error_code::invalid_argument)},
                 {"d", "not this node's range"}};
     m_mesh.board.metrics.get("tillerhall_member_news_total").add();
-    merge_all(message.records, "announcement", spreading::none);
+    merge_all(message.records, "announcement", propagation::none);
     broadcast(message);
     return {};
 }
--- a/src/node/membership_controller.cpp
+++ b/src/node/membership_controller.cpp
@@ -17,13 +17,13 @@
 constexpr double sync_burst = 2;
 // Rumors take a few rounds to reach all; a sync repairs what they missed.
 constexpr unsigned differences_before_sync = 3;
-constexpr int pause_heartbeats = 4;
-constexpr milliseconds least_pause(2000);
-constexpr std::chrono::minutes dead_kept(10);
+constexpr int stall_heartbeats = 4;
+constexpr milliseconds min_stall_limit(2000);
+constexpr std::chrono::minutes dead_retention(10);
 // Peers drop crashes and good runs earlier than the node that reports them,
 // whose clock may differ. Else they would add entries that this node has just
 // removed to its newer record.
-constexpr duration news_taken = news_kept - std::chrono::minutes(1);
+constexpr duration evidence_accepted = news_kept - std::chrono::minutes(1);
 
 } // namespace
 
@@ -32,12 +32,12 @@
     : m_mesh(mesh)
     , m_tables(tables)
     , m_suspicion({milliseconds(mesh.config.suspect_ms)})
-    , m_syncs(syncs_per_s, sync_burst)
-    , m_refutations(refutations_per_s, refutation_burst)
+    , m_sync_limiter(syncs_per_s, sync_burst)
+    , m_refutation_limiter(refutations_per_s, refutation_burst)
 {
-    const auto beats = milliseconds(mesh.config.heartbeat_ms);
-    mesh.board.control.set_limit(
-        std::max<duration>(beats * pause_heartbeats, least_pause));
+    const auto heartbeat_period = milliseconds(mesh.config.heartbeat_ms);
+    mesh.board.control.set_limit(std::max<duration>(
+        heartbeat_period * stall_heartbeats, min_stall_limit));
 }
 
 void membership_controller::add_methods()
@@ -70,17 +70,17 @@
             m_mesh.random.below(static_cast<std::uint64_t>(base / 10 + 1)));
         sleep_for(m_mesh.on.io(), milliseconds(base + jitter - base / 20));
         m_mesh.members.set_now(steady_clock::now(),
-                               wall_clock_ms() - to_ms(news_taken));
+                               wall_clock_ms() - to_ms(evidence_accepted));
         if (m_mesh.board.control.was_paused())
             resume();
         m_mesh.board.control.tick();
         m_mesh.on.spawn([this] { send_heartbeat(); });
-        bury_overdue();
-        forget_own_news();
+        expire_suspects();
+        forget_own_evidence();
     }
 }
 
-void membership_controller::forget_own_news()
+void membership_controller::forget_own_evidence()
 {
     auto self = m_mesh.members.self();
     if (forget_news(self, wall_clock_ms() - to_ms(news_kept)))
@@ -100,20 +100,20 @@
     // node that is alone in the mesh has no peer to ask.
     while (m_mesh.members.live_count() > 1)
     {
-        const auto asked = some_peers(peers_asked);
+        const auto asked = random_peers(peers_asked);
         if (join_through(asked))
             break;
         for (const auto& each : asked)
             connect_failed(each);
         sleep_for(m_mesh.on.io(), milliseconds(m_mesh.config.heartbeat_ms));
-        bury_overdue();
+        expire_suspects();
     }
     // A stop that was requested meanwhile stays in force.
     auto resuming = node_phase::resuming;
     board.phase.compare_exchange_strong(resuming, before);
 }
 
-std::vector<address> membership_controller::some_peers(std::size_t count)
+std::vector<address> membership_controller::random_peers(std::size_t count)
 {
     std::vector<address> peers;
     for (const auto& each : m_mesh.members.all())
@@ -125,7 +125,7 @@
     return peers;
 }
 
-heartbeat_message membership_controller::own_message()
+heartbeat_message membership_controller::make_heartbeat()
 {
     heartbeat_message message;
     message.version = m_tables.current()->version();
@@ -141,14 +141,14 @@
 void membership_controller::send_heartbeat()
 {
     auto peer = m_schedule.next(m_mesh.members, m_mesh.random);
-    if (!m_hints.empty())
+    if (!m_unknown_hosts.empty())
     {
-        peer = m_hints.back();
-        m_hints.pop_back();
+        peer = m_unknown_hosts.back();
+        m_unknown_hosts.pop_back();
     }
     if (!peer)
         return;
-    auto message = own_message();
+    auto message = make_heartbeat();
     message.from = m_mesh.members.self().rpc.text();
     const auto* known = m_mesh.members.find(*peer);
     const auto incarnation = known == nullptr ? 0 : known->incarnation;
@@ -165,7 +165,7 @@
     {
         const auto read = heartbeat_from_json(*answer);
         if (message.asks_identity && read.from != peer->text())
-            return found_alias(*peer, read.from);
+            return mark_replaced(*peer, read.from);
         m_verified[*peer] = incarnation;
         if (read.sender_unknown)
             m_mesh.rumors.add(m_mesh.members.self().rpc);
@@ -188,8 +188,8 @@
                                 "no answer to a heartbeat");
 }
 
-void membership_controller::found_alias(const address& node,
-                                        const std::string& real)
+void membership_controller::mark_replaced(const address& node,
+                                          const std::string& advertised)
 {
     // The process there advertises another address now, so the record belongs
     // to a process that has ended.
@@ -199,10 +199,10 @@
     m_mesh.rumors.add(node);
     m_tables.members_changed();
     m_mesh.board.decisions.note("found_dead", node.text(),
-                                "the process there advertises " + real);
+                                "the process there advertises " + advertised);
 }
 
-void membership_controller::bury_overdue()
+void membership_controller::expire_suspects()
 {
     const auto now = steady_clock::now();
     for (const auto& each : m_suspicion.expire(m_mesh.members, now))
@@ -212,7 +212,7 @@
         m_mesh.board.decisions.note("found_dead", each.text(),
                                     "suspect did not refute in time");
     }
-    m_mesh.members.forget_dead(now - dead_kept);
+    m_mesh.members.forget_dead(now - dead_retention);
     std::erase_if(m_verified, [this](const auto& each)
                   { return m_mesh.members.find(each.first) == nullptr; });
     std::erase_if(m_versions_seen, [this](const auto& seen)
@@ -222,7 +222,7 @@
 void membership_controller::handle_heartbeat(const heartbeat_message& message,
                                              const address& peer)
 {
-    merge_all(message.rumors, "heartbeat", spreading::by_rumor);
+    merge_all(message.rumors, "heartbeat", propagation::by_rumor);
     m_freshness.heard(message.source_age_ms, steady_clock::now());
     auto& seen = m_versions_seen[peer];
     seen = std::max(seen, message.version);
@@ -231,13 +231,14 @@
         m_mesh.routes_heard(message.routes_version, peer);
     if (m_mesh.rollouts_heard && !message.rollouts.empty())
         m_mesh.rollouts_heard(message.rollouts);
-    const bool quiet = message.rumors.empty() && m_mesh.rumors.size() == 0;
+    const bool no_rumors = message.rumors.empty() && m_mesh.rumors.size() == 0;
     const bool differs = message.members_digest != m_mesh.members.digest();
-    m_differences_in_row = differs && quiet ? m_differences_in_row + 1 : 0;
-    if (m_differences_in_row < differences_before_sync ||
-        !m_syncs.take(steady_clock::now()))
+    m_consecutive_differences =
+        differs && no_rumors ? m_consecutive_differences + 1 : 0;
+    if (m_consecutive_differences < differences_before_sync ||
+        !m_sync_limiter.take(steady_clock::now()))
         return;
-    m_differences_in_row = 0;
+    m_consecutive_differences = 0;
     m_mesh.on.spawn([this, peer] { sync_with(peer); });
 }
 
@@ -250,7 +251,7 @@
                 {"d", peer.reason().detail()}};
     // Merges the sender's own record first, so that it is found below.
     handle_heartbeat(message, *peer);
-    auto answer = own_message();
+    auto answer = make_heartbeat();
     if (message.asks_identity)
         answer.from = m_mesh.members.self().rpc.text();
     answer.sender_unknown = m_mesh.members.find(*peer) == nullptr;
@@ -286,7 +287,7 @@
 
 void membership_controller::learn(const std::vector<member>& records)
 {
-    merge_all(records, "store", spreading::none);
+    merge_all(records, "store", propagation::none);
 }
 
 void membership_controller::announce_self(const member& changed)
@@ -297,31 +298,31 @@
         return;
     m_mesh.rumors.add(m_mesh.members.self().rpc);
     m_tables.members_changed();
-    tell_all({m_mesh.members.self()});
+    announce_to_all({m_mesh.members.self()});
 }
 
-void membership_controller::hint(const std::vector<address>& hosts)
+void membership_controller::contact_unknown(const std::vector<address>& hosts)
 {
     for (const auto& host : hosts)
         if (m_mesh.members.find(host) == nullptr &&
-            std::ranges::find(m_hints, host) == m_hints.end())
-            m_hints.push_back(host);
+            std::ranges::find(m_unknown_hosts, host) == m_unknown_hosts.end())
+            m_unknown_hosts.push_back(host);
 }
 
 void membership_controller::merge_all(const std::vector<member>& records,
                                       const char* source,
-                                      spreading spread)
+                                      propagation propagate)
 {
     for (const auto& each : records)
-        merge(each, source, spread);
+        merge(each, source, propagate);
 }
 
 void membership_controller::merge(const member& record,
                                   const char* source,
-                                  spreading spread)
+                                  propagation propagate)
 {
     m_mesh.members.set_now(steady_clock::now(),
-                           wall_clock_ms() - to_ms(news_taken));
+                           wall_clock_ms() - to_ms(evidence_accepted));
     const auto* known = m_mesh.members.find(record.rpc);
     const bool was_dead =
         known != nullptr && known->state == member_state::dead;
@@ -330,7 +331,7 @@
         return;
     // Records from a broadcast, a join or a sync are known to most members;
     // only those from heartbeats, and refutations, are passed on.
-    if (spread == spreading::by_rumor || merged == merge_result::refute)
+    if (propagate == propagation::by_rumor || merged == merge_result::refute)
         m_mesh.rumors.add(record.rpc);
     m_tables.members_changed();
     m_mesh.board.metrics
@@ -351,7 +352,7 @@
         {{"state", name_of(accusation.state)}});
     // Rumors don't suffice after a pause: they would be spent on answers to
     // heartbeats whose senders have timed out.
-    if (m_refutations.take(steady_clock::now()))
+    if (m_refutation_limiter.take(steady_clock::now()))
         broadcast({{m_mesh.members.self()}, key_range{}});
 }
 
--- a/src/node/membership_joining.cpp
+++ b/src/node/membership_joining.cpp
@@ -27,8 +27,8 @@
     {
         const auto read = sync_answer_from_json(*answer);
         m_mesh.members.learn_names(read.services, read.places);
-        merge_all(read.members, "sync", spreading::none);
-        pass_on_newer(read);
+        merge_all(read.members, "sync", propagation::none);
+        spread_newer_records(read);
     }
     catch (const std::exception&)
     {
@@ -36,7 +36,7 @@
     }
 }
 
-void membership_controller::pass_on_newer(const sync_answer& theirs)
+void membership_controller::spread_newer_records(const sync_answer& theirs)
 {
     std::map<address, member> known;
     for (const auto& each : theirs.members)
@@ -70,7 +70,7 @@
 }
 
 bool membership_controller::join_through(const std::vector<address>& peers,
-                                         std::size_t most_answers)
+                                         std::size_t max_answers)
 {
     struct joined
     {
@@ -80,7 +80,7 @@
     std::vector<joined> answers;
     for (const auto& peer : peers)
     {
-        if (answers.size() == most_answers)
+        if (answers.size() == max_answers)
             break;
         if (peer == m_mesh.members.self().rpc)
             continue;
@@ -109,7 +109,7 @@
         // when its targets are.
         if (m_mesh.rollouts_heard && !answer.rollouts.empty())
             m_mesh.rollouts_heard(answer.rollouts);
-        merge_all(answer.members, "join", spreading::none);
+        merge_all(answer.members, "join", propagation::none);
         m_freshness.heard(answer.source_age_ms, steady_clock::now());
         m_tables.must_reach(std::max(answer.version, answer.floor));
     }
@@ -123,7 +123,7 @@
 {
     const auto request = join_request_from_json(params);
     const auto& joiner = request.joiner.rpc;
-    merge(request.joiner, "join", spreading::none);
+    merge(request.joiner, "join", propagation::none);
     join_answer answer;
     answer.members = m_mesh.members.all();
     answer.services = m_mesh.members.services();
@@ -136,17 +136,17 @@
         seen != m_versions_seen.end())
         answer.floor = seen->second;
     if (request.tell_others)
-        tell_of_join(joiner);
+        announce_join(joiner);
     return to_json(answer);
 }
 
-void membership_controller::tell_of_join(const address& joiner)
+void membership_controller::announce_join(const address& joiner)
 {
     const auto* record = m_mesh.members.find(joiner);
     if (record == nullptr)
         return;
-    if (gatherer())
-        tell_all({*record});
+    if (batching_member())
+        announce_to_all({*record});
     else
         add_to_batch({*record});
 }
