--- a/src/node/membership_controller.cpp
+++ b/src/node/membership_controller.cpp
@@ -64,7 +64,7 @@
 {
     while (true)
     {
-        // Jitter of 10 % keeps nodes from sending in lockstep.
+        // Jitter of +-5 % keeps nodes from sending in lockstep.
         const auto base = m_mesh.config.heartbeat_ms;
         const auto jitter = static_cast<std::int64_t>(
             m_mesh.random.below(static_cast<std::uint64_t>(base / 10 + 1)));
