--- a/include/tillerhall/node/distribution_controller.hpp
+++ b/include/tillerhall/node/distribution_controller.hpp
@@ -1,4 +1,4 @@
-/** @file Brings versions to this node and from it to others. */
+/** @file Receives table versions and distributes them to other nodes. */
 #pragma once
 
 #include "tillerhall/distribution/source_freshness.hpp"
@@ -13,31 +13,33 @@
 namespace tillerhall
 {
 
-/** Owns the version gate; runs on the first worker. */
+/** Owns the version gate. Used on the first worker only. */
 class distribution_controller
 {
 public:
     explicit distribution_controller(mesh_state& mesh);
 
-    /** Adds the control methods for pushes, pulls and watching. */
+    /** Registers the control methods for pushes, pulls and watching. */
     void add_methods();
 
-    /** Takes a version read from the source or accepted here, and sends it. */
+    /** Offers a version to the gate and sends it to other nodes unless it is
+     * old or corrupt. */
     gate_decision introduce(const table_update& update);
 
-    /** Takes a version without sending it on. */
+    /** Offers a version to the gate without sending it. */
     gate_decision take(const table_update& update);
 
-    /** A peer told of @p version; pulls from it if that is news. */
+    /** Records that @p peer has @p version; pulls from it if that is newer. */
     void heard_of(std::uint64_t version, const address& peer);
 
-    /** Pulls from @p peer until at its version. @return whether it answered. */
+    /** Pulls from @p peer. @return true if it answered. */
     bool pull_now(const address& peer);
 
-    /** Member records changed: routes are joined anew, held versions tried. */
+    /** Rebuilds the routes and retries held versions after member records have
+     * changed. */
     void members_changed();
 
-    /** @return how far @p version has got among all live members. */
+    /** @return which live members and suspects have reached @p version. */
     watch_report watch(std::uint64_t version);
 
     const table_view_ptr& current() const noexcept { return m_gate.current(); }
--- a/src/node/distribution_controller.cpp
+++ b/src/node/distribution_controller.cpp
@@ -12,11 +12,11 @@
 
 namespace json = boost::json;
 
-// A push is acknowledged on receipt, so a short wait finds a dead relay.
+// Pushes are acknowledged on receipt, so a short timeout detects a dead relay.
 constexpr milliseconds push_timeout(700);
 constexpr milliseconds pull_timeout(3000);
 constexpr unsigned most_snapshots_served = 4;
-// Member changes come in bursts; the join of the view is made once for each.
+// Member changes come in bursts; the route view is rebuilt once for each burst.
 constexpr milliseconds publish_delay(10);
 
 json::object refusal(error_code code, const std::string& detail)
@@ -166,7 +166,7 @@
             return;
         m_mesh.board.metrics.get("tillerhall_push_failed_total").add();
     }
-    // Heartbeats will show the rest of this part that it is behind.
+    // The other members of this part learn of the version from heartbeats.
     m_mesh.board.metrics.get("tillerhall_push_given_up_total").add();
 }
 
@@ -179,8 +179,8 @@
     const auto decision = take(message.update);
     const bool is_new = message.update.version > before;
     const bool in_tree = message.range != key_range{};
-    // In a tree this node alone answers for its range, even if the version
-    // reached it another way first.
+    // In a tree only this node forwards to its range, so it must do so even if
+    // it received the version by another path first.
     if (decision != gate_decision::corrupt &&
         (is_new || (in_tree && message.update.version == before)))
         deliver(message.update, message.range);
@@ -260,7 +260,7 @@
     {
         answer.updates = std::move(*updates);
         auto message = to_json(answer);
-        // A long run of deltas can outgrow the table that it leads to.
+        // Many deltas can be larger than the table that results from them.
         if (json::serialize(message).size() <
                 write_csv(current()->table()).size() ||
             answer.updates.size() == 1)
@@ -281,7 +281,7 @@
     if (current()->version() == 0)
         return refusal(error_code::not_ready, "no table here yet");
     ++m_snapshots_served;
-    // The count falls when the answer has had time to leave this node.
+    // Decremented once the answer has had time to be sent.
     m_mesh.on.spawn(
         [this]
         {
