--- a/include/tillerhall/node/range_query.hpp
+++ b/include/tillerhall/node/range_query.hpp
@@ -1,4 +1,4 @@
-/** @file Asks every member in a range and adds up their answers. */
+/** @file Queries all members in a key range through a tree. */
 #pragma once
 
 #include "tillerhall/distribution/key_range.hpp"
@@ -10,7 +10,7 @@
 namespace tillerhall
 {
 
-/** What is asked; each member asked splits its range further. */
+/** A query; each receiver splits its range further. */
 struct range_question
 {
     std::string method;
@@ -19,11 +19,10 @@
 };
 
 /**
- * Asks one member of each part of @p range at the same time, the next one if
- * it does not answer. Each node asks at most `fanout` others, however many
- * there are.
- * @param take given each answer; throws on a malformed one
- * @param missing given the range of a part that nobody answered for
+ * Splits @p range into at most `fanout` parts and queries one member of each in
+ * parallel. If it doesn't answer, the next candidate is queried. Waits for all.
+ * @param take called with each answer; throws on a malformed one
+ * @param missing called with the range of each part without an answer
  */
 template <class Take, class Missing>
 void ask_range(mesh_state& mesh,
