--- a/include/tillerhall/node/range_send.hpp
+++ b/include/tillerhall/node/range_send.hpp
@@ -1,4 +1,4 @@
-/** @file Sends a message to all members in a range, by a tree. */
+/** @file Sends a message to all members in a key range through a tree. */
 #pragma once
 
 #include "tillerhall/distribution/key_range.hpp"
@@ -9,20 +9,20 @@
 namespace tillerhall
 {
 
-/** What is sent; the receiver sends it on to the range it was given. */
+/** A message; the receiver forwards it to the range it was given. */
 struct range_message
 {
     const char* method = nullptr;
     traffic_kind kind = traffic_kind::other;
-    duration timeout{}; ///< of one call; then another member is tried
+    duration timeout{}; ///< of one call
     /** @return the message for the members in a range. */
     std::function<boost::json::object(const key_range&)> params;
 };
 
 /**
  * Splits @p range into `fanout` parts and sends each to one member in it, to
- * up to three of them until one answers. Does not wait. A member that is
- * missed is told by the next message or by heartbeats.
+ * up to three of them until one answers. Returns at once. A member
+ * that is missed is updated by the next message or by heartbeats.
  */
 void send_to_range(mesh_state& mesh,
                    const range_message& message,
