--- a/include/tillerhall/node/messages.hpp
+++ b/include/tillerhall/node/messages.hpp
@@ -1,4 +1,4 @@
-/** @file The control messages between nodes and their JSON members. */
+/** @file Control messages between nodes and their JSON form. */
 #pragma once
 
 #include "tillerhall/distribution/key_range.hpp"
@@ -38,17 +38,19 @@
 inline constexpr const char* quota_limits = "limits";
 } // namespace method
 
-/** A heartbeat and its answer: where the sender stands, and news. */
+/** A heartbeat or its answer: the sender's versions and its rumors. */
 struct heartbeat_message
 {
-    std::string from; ///< control address; in an answer only if asked for
-    bool asks_identity = false; ///< the answer shall say who answers
+    std::string from; ///< control address; in an answer only on request
+    bool asks_identity = false; ///< the answer shall contain `from`
     std::uint64_t version = 0;
-    std::uint64_t routes_version = 0; ///< of the routes followed in a feed
+    std::uint64_t routes_version = 0; ///< of the routes from a feed
     std::uint64_t members_digest = 0;
-    /** Milliseconds since a read of the source that anyone told of; -1 none. */
+    /** Milliseconds since the last known read of the source by any node; -1 if
+     * there is none. */
     std::int64_t source_age_ms = -1;
-    bool sender_unknown = false; ///< in an answer: send me your record
+    bool sender_unknown =
+        false; ///< in an answer: the receiver shall send its record
     std::vector<member> rumors;
     std::vector<rollout_record> rollouts;
 };
@@ -61,11 +63,12 @@
     std::set<std::string> services;
     std::set<std::string> places;
     std::uint64_t version = 0;
-    std::uint64_t floor = 0; ///< greatest version seen at the joiner's address
+    /** Greatest version seen at the joiner's address. */
+    std::uint64_t floor = 0;
     std::int64_t source_age_ms = -1;
 };
 
-/** The records of the buckets that differ. */
+/** Answer to a sync: the records of the digest buckets that differ. */
 struct sync_answer
 {
     std::vector<std::size_t> differing; ///< indexes of those buckets
@@ -74,28 +77,28 @@
     std::set<std::string> places;
 };
 
-/** Records on their way to all members in a range. */
+/** Member records for all members in a range. */
 struct announce_message
 {
     std::vector<member> records;
     key_range range;
 };
 
-/** Roll-outs on their way to all members in a range. */
+/** Roll-outs for all members in a range. */
 struct rollouts_message
 {
     std::vector<rollout_record> records;
     key_range range;
 };
 
-/** A node that joins, and whether the one it asks shall tell the others. */
+/** Request to join; `tell_others` asks the receiver to announce the joiner. */
 struct join_request
 {
     member joiner;
     bool tell_others = false;
 };
 
-/** A version on its way to all members in a range. */
+/** A table version for all members in a range. */
 struct push_message
 {
     std::string from;
@@ -103,7 +106,7 @@
     key_range range;
 };
 
-/** The answer to a pull: deltas, or the advice to take the whole. */
+/** Answer to a pull: deltas, or the advice to request a snapshot. */
 struct pull_answer
 {
     std::uint64_t version = 0;
@@ -111,26 +114,27 @@
     bool take_whole = false;
 };
 
-/** Nodes at a version and nodes in all, of one failure domain. */
+/** Nodes of one failure domain: at a version, and in total. */
 struct domain_count
 {
     std::uint64_t at = 0;
     std::uint64_t total = 0;
 };
 
-/** How far a version has got, summed over a range. */
+/** Number of nodes at a version, summed over a range. */
 struct watch_report
 {
     static constexpr std::size_t most_named = 16;
 
     std::map<std::string, domain_count> domains;
-    std::vector<std::string> laggards; ///< some of them, by control address
+    std::vector<std::string>
+        laggards; ///< control addresses, at most `most_named`
     std::uint64_t greatest_version = 0;
 
-    /** Adds @p other 's counts and names to this one's. */
+    /** Adds the counts and laggards of @p other. */
     void add(const watch_report& other);
 
-    /** Counts one node. */
+    /** Counts one node; @p at is true if it has reached the version. */
     void count(const std::string& domain, const std::string& node, bool at);
 
     std::uint64_t at() const noexcept;
@@ -148,7 +152,8 @@
 boost::json::object to_json(const watch_report& sent);
 boost::json::object to_json(const member_list::bucket_digests& sent);
 
-/** Reading throws std::exception on a bad message; the RPC layer counts it. */
+/** The readers throw std::exception on a malformed message; the RPC layer
+ * counts these. */
 heartbeat_message heartbeat_from_json(const boost::json::object& members);
 join_request join_request_from_json(const boost::json::object& members);
 join_answer join_answer_from_json(const boost::json::object& members);
--- a/src/node/messages.cpp
+++ b/src/node/messages.cpp
@@ -37,7 +37,7 @@
     return records;
 }
 
-/** Leaves out what is not there: most nodes know of no roll-out. */
+/** Writes no member if there are no roll-outs. */
 void put_rollouts(json::object& into, const std::vector<rollout_record>& sent)
 {
     if (sent.empty())
