--- a/include/tillerhall/node/mesh_state.hpp
+++ b/include/tillerhall/node/mesh_state.hpp
@@ -1,4 +1,4 @@
-/** @file What the control plane of a node works on, on its first worker. */
+/** @file Shared state of a node's control plane. */
 #pragma once
 
 #include "tillerhall/core/random.hpp"
@@ -12,7 +12,7 @@
 namespace tillerhall
 {
 
-/** Used by fibers of the first worker only, so it needs no lock. */
+/** Used by fibers of the first worker only; not locked. */
 struct mesh_state
 {
     mesh_state(const settings& given,
@@ -29,8 +29,8 @@
     {
     }
 
-    /** Heartbeat successors, their like the other way, and a tree's children.
-     */
+    /** Enough for ring successors, ring predecessors and the children in a
+     * broadcast tree. */
     static constexpr std::size_t idle_connections = 16;
 
     const settings& config;
@@ -41,13 +41,13 @@
     random_source random;
     rpc_client_pool pool;
     rpc_server server;
-    /** Called on the first worker with each new join of table and members. */
+    /** Called on the first worker with each new route view. */
     std::function<void(const route_view&)> routes_changed;
-    /** Called with the version of the routes that a peer told of. */
+    /** Called with the version of the routes that a peer reported. */
     std::function<void(std::uint64_t, const address&)> routes_heard;
-    /** Asked for the roll-outs that heartbeats and joins tell of. */
+    /** Returns the roll-outs to include in heartbeats and answers to joins. */
     std::function<std::vector<rollout_record>()> rollouts_told;
-    /** Called with the roll-outs that a peer told of. */
+    /** Called with the roll-outs that a peer sent. */
     std::function<void(const std::vector<rollout_record>&)> rollouts_heard;
 };
 
