--- a/include/tillerhall/node/self_record.hpp
+++ b/include/tillerhall/node/self_record.hpp
@@ -1,4 +1,4 @@
-/** @file The record by which a node makes itself known. */
+/** @file The initial membership record of a node. */
 #pragma once
 
 #include "tillerhall/membership/member.hpp"
@@ -7,7 +7,7 @@
 namespace tillerhall
 {
 
-/** @return this boot's own record; its target is down until it is heard of. */
+/** @return the record of this boot; its target is down until it reports. */
 member self_record(const settings& config);
 
 } // namespace tillerhall
