--- a/include/tillerhall/node/source_controller.hpp
+++ b/include/tillerhall/node/source_controller.hpp
@@ -1,4 +1,4 @@
-/** @file Reads the source where this node is to read it. */
+/** @file Polls the source of tables. */
 #pragma once
 
 #include "tillerhall/core/token_bucket.hpp"
@@ -10,7 +10,10 @@
 namespace tillerhall
 {
 
-/** The reading side of the source: the net under the pushes. */
+/**
+ * Joins the mesh, then reads the source at intervals if this node is a reader.
+ * Delivers versions whose pushes were lost. Used on the first worker only.
+ */
 class source_controller
 {
 public:
@@ -20,7 +23,8 @@
                       table_store& store,
                       host_list& hosts);
 
-    /** Joins the mesh, by seeds, then by the host list, then keeps reading. */
+    /** Joins the mesh through the seeds or the host list, then starts polling.
+     */
     void start();
 
 private:
--- a/src/node/source_controller.cpp
+++ b/src/node/source_controller.cpp
@@ -12,13 +12,15 @@
 
 constexpr milliseconds least_join_wait(100);
 constexpr milliseconds most_join_wait(5000);
-// A reader gives the pushes this long before it takes them for lost.
+// A reader waits this long for a push before it reads a new version itself.
 constexpr milliseconds push_grace(300);
-// With no fresh read heard of for this many polls a node reads by itself.
+// A node that is no reader reads after this many polls without a read by any
+// node.
 constexpr int polls_before_reading = 5;
-// Up to so many versions behind, the records are read instead of the table.
+// Up to this many versions behind, version records are read instead of the
+// table.
 constexpr std::uint64_t most_records = 4;
-// Hosts change a few times an hour; a reader looks at the list now and then.
+// The host list changes rarely; it is read once in this many reads of the head.
 constexpr unsigned reads_per_host_list = 30;
 
 } // namespace
@@ -76,10 +78,10 @@
     if (met_peers && m_tables.current()->version() > 0)
         return is_caught_up();
     if (met_peers && somebody_read_lately())
-        m_source_is_empty = true; // it would have given them a table
+        m_source_is_empty = true; // else the peers would have a table
     else
     {
-        // Nobody has a table: ask the source, as often as its cap allows.
+        // No peer has a table, so it is read from the source, rate limited.
         if (!met_peers)
             read_hosts();
         read_source();
@@ -145,8 +147,8 @@
         static_cast<std::size_t>(m_mesh.config.readers_per_domain);
     if (is_reader(m_mesh.members, per_domain))
         return true;
-    // Each node waits a little longer than the one before it would, so that
-    // the first to step in is heard of before the others follow.
+    // The jitter lets one node read first, so that the others learn of its read
+    // before they start reading, too.
     const auto poll = m_mesh.config.poll_ms;
     const auto jitter = static_cast<std::int64_t>(
         m_mesh.random.below(static_cast<std::uint64_t>(20 * poll)));
@@ -168,7 +170,7 @@
         if (reads != m_reading)
             m_mesh.board.decisions.note(reads ? "became_reader"
                                               : "stopped_reading",
-                                        "source", "choice by rendezvous hash");
+                                        "source", "chosen by rendezvous hash");
         m_reading = reads;
         if (!reads)
             continue;
@@ -235,7 +237,7 @@
 
 void source_controller::take(const table_update& update)
 {
-    // Introducing sends it to everyone, as the strategy says how.
+    // The strategy decides to whom the version is sent.
     if (update.version > m_tables.current()->version())
         m_tables.introduce(update);
 }
