--- a/include/tillerhall/node/self_record.hpp
+++ b/include/tillerhall/node/self_record.hpp
@@ -7,7 +7,8 @@
 namespace tillerhall
 {
 
-/** @return the record of this boot; its target is down until it reports. */
+/** @return the record of this boot; its target is down until it is checked or
+ * reports. */
 member self_record(const settings& config);
 
 } // namespace tillerhall
