--- a/include/tillerhall/node/source_controller.hpp
+++ b/include/tillerhall/node/source_controller.hpp
@@ -40,7 +40,7 @@
     void read_hosts();
     bool may_ask();
     void note_outcome(const error* failed);
-    void take(const table_update& update);
+    void deliver(const table_update& update);
 
     mesh_state& m_mesh;
     distribution_controller& m_tables;
--- a/src/node/source_controller.cpp
+++ b/src/node/source_controller.cpp
@@ -216,8 +216,8 @@
         note_outcome(record ? nullptr : &record.reason());
         if (!record)
             return;
-        take({record->version, record->digest, record->parent_digest,
-              record->accepted_us, record->changes, std::nullopt});
+        deliver({record->version, record->digest, record->parent_digest,
+                 record->accepted_us, record->changes, std::nullopt});
     }
 }
 
@@ -231,11 +231,11 @@
     if (head.version > m_tables.current()->version())
         if (const auto record = m_store.read_version(head.version))
             accepted_us = record->accepted_us;
-    take({head.version, head.digest, "", accepted_us, std::nullopt,
-          write_csv(*table)});
+    deliver({head.version, head.digest, "", accepted_us, std::nullopt,
+             write_csv(*table)});
 }
 
-void source_controller::take(const table_update& update)
+void source_controller::deliver(const table_update& update)
 {
     // The strategy decides to whom the version is sent.
     if (update.version > m_tables.current()->version())
