--- a/include/tillerhall/node/source_controller.hpp
+++ b/include/tillerhall/node/source_controller.hpp
@@ -33,12 +33,12 @@
     bool is_caught_up() const;
     void read_loop();
     bool should_read();
-    bool somebody_read_lately();
+    bool is_recently_read();
     void read_source();
-    void read_newer(const table_head& head);
-    void read_whole(const table_head& head);
+    void read_new_versions(const table_head& head);
+    void read_table(const table_head& head);
     void read_hosts();
-    bool may_ask();
+    bool may_read();
     void note_outcome(const error* failed);
     void deliver(const table_update& update);
 
@@ -48,8 +48,8 @@
     table_store& m_store;
     host_list& m_hosts;
     circuit_breaker m_breaker;
-    token_bucket m_rate;
-    bool m_reading = false;
+    token_bucket m_rate_limiter;
+    bool m_is_reader = false;
     bool m_source_is_empty = false;
     unsigned m_reads_since_hosts = 0;
 };
--- a/src/node/source_controller.cpp
+++ b/src/node/source_controller.cpp
@@ -10,16 +10,16 @@
 namespace
 {
 
-constexpr milliseconds least_join_wait(100);
-constexpr milliseconds most_join_wait(5000);
+constexpr milliseconds min_join_wait(100);
+constexpr milliseconds max_join_wait(5000);
 // A reader waits this long for a push before it reads a new version itself.
 constexpr milliseconds push_grace(300);
 // A node that is no reader reads after this many polls without a read by any
 // node.
 constexpr int polls_before_reading = 5;
-// Up to this many versions behind, version records are read instead of the
+// Up to this many versions current, version records are read instead of the
 // table.
-constexpr std::uint64_t most_records = 4;
+constexpr std::uint64_t max_records_read = 4;
 // The host list changes rarely; it is read once in this many reads of the head.
 constexpr unsigned reads_per_host_list = 30;
 
@@ -35,8 +35,8 @@
     , m_membership(membership)
     , m_store(store)
     , m_hosts(hosts)
-    , m_rate(static_cast<double>(mesh.config.source_reads_per_s),
-             static_cast<double>(mesh.config.source_reads_per_s))
+    , m_rate_limiter(static_cast<double>(mesh.config.source_reads_per_s),
+                     static_cast<double>(mesh.config.source_reads_per_s))
 {
 }
 
@@ -55,7 +55,7 @@
 
 void source_controller::join_loop()
 {
-    backoff waits(least_join_wait, most_join_wait);
+    backoff waits(min_join_wait, max_join_wait);
     while (!try_join())
         sleep_for(m_mesh.on.io(), waits.next(m_mesh.random));
     auto joining = node_phase::joining;
@@ -74,31 +74,31 @@
         if (each.rpc != m_mesh.members.self().rpc)
             peers.push_back(each.rpc);
     std::ranges::shuffle(peers, m_mesh.random);
-    const bool met_peers = m_membership.join_through(peers);
-    if (met_peers && m_tables.current()->version() > 0)
+    const bool joined = m_membership.join_through(peers);
+    if (joined && m_tables.current()->version() > 0)
         return is_caught_up();
-    if (met_peers && somebody_read_lately())
-        m_source_is_empty = true; // else the peers would have a table
+    if (joined && is_recently_read())
+        m_source_is_empty = true; // else the peers would before_wait a table
     else
     {
         // No peer has a table, so it is read from the source, rate limited.
-        if (!met_peers)
+        if (!joined)
             read_hosts();
         read_source();
     }
     return is_caught_up();
 }
 
-bool source_controller::somebody_read_lately()
+bool source_controller::is_recently_read()
 {
     const auto age = m_membership.freshness().age_ms(steady_clock::now());
     return age >= 0 && age <= polls_before_reading * m_mesh.config.poll_ms;
 }
 
-bool source_controller::may_ask()
+bool source_controller::may_read()
 {
     const auto now = steady_clock::now();
-    return m_breaker.allows(now) && m_rate.take(now);
+    return m_breaker.allows(now) && m_rate_limiter.take(now);
 }
 
 void source_controller::note_outcome(const error* failed)
@@ -124,7 +124,7 @@
 
 void source_controller::read_hosts()
 {
-    if (!may_ask())
+    if (!may_read())
         return;
     const auto hosts = m_hosts.read();
     if (!hosts)
@@ -167,11 +167,11 @@
             m_mesh.on.io(),
             milliseconds(poll - poll / 10 + static_cast<std::int64_t>(jitter)));
         const bool reads = should_read();
-        if (reads != m_reading)
+        if (reads != m_is_reader)
             m_mesh.board.decisions.note(reads ? "became_reader"
                                               : "stopped_reading",
                                         "source", "chosen by rendezvous hash");
-        m_reading = reads;
+        m_is_reader = reads;
         if (!reads)
             continue;
         read_source();
@@ -183,7 +183,7 @@
 
 void source_controller::read_source()
 {
-    if (!may_ask())
+    if (!may_read())
         return;
     const auto head = m_store.read_head();
     note_outcome(head ? nullptr : &head.reason());
@@ -191,26 +191,26 @@
         return;
     m_source_is_empty = head->version == 0;
     m_tables.must_reach(head->version);
-    const bool whole =
+    const bool reads_whole_table =
         m_tables.strategy().polling() == source_polling::whole_each_node;
-    if (whole && head->version > 0)
-        return read_whole(*head);
+    if (reads_whole_table && head->version > 0)
+        return read_table(*head);
     if (head->version > m_tables.current()->version())
-        read_newer(*head);
+        read_new_versions(*head);
 }
 
-void source_controller::read_newer(const table_head& head)
+void source_controller::read_new_versions(const table_head& head)
 {
     const bool pushed = m_tables.strategy().polling() == source_polling::none;
-    const auto have = m_tables.current()->version();
-    if (pushed && have > 0)
+    const auto before_wait = m_tables.current()->version();
+    if (pushed && before_wait > 0)
         sleep_for(m_mesh.on.io(), push_grace);
-    const auto behind = m_tables.current()->version();
-    if (head.version <= behind)
+    const auto current = m_tables.current()->version();
+    if (head.version <= current)
         return;
-    if (head.version - behind > most_records || behind == 0)
-        return read_whole(head);
-    for (auto version = behind + 1; version <= head.version; ++version)
+    if (head.version - current > max_records_read || current == 0)
+        return read_table(head);
+    for (auto version = current + 1; version <= head.version; ++version)
     {
         const auto record = m_store.read_version(version);
         note_outcome(record ? nullptr : &record.reason());
@@ -221,7 +221,7 @@
     }
 }
 
-void source_controller::read_whole(const table_head& head)
+void source_controller::read_table(const table_head& head)
 {
     const auto table = m_store.read_table(head.digest);
     note_outcome(table ? nullptr : &table.reason());
