--- a/include/tillerhall/node/distribution_controller.hpp
+++ b/include/tillerhall/node/distribution_controller.hpp
@@ -24,7 +24,7 @@
 
     /** Offers a version to the gate and sends it to other nodes unless it is
      * old or corrupt. */
-    gate_decision introduce(const table_update& update);
+    gate_decision distribute(const table_update& update);
 
     /** Offers a version to the gate without sending it. */
     gate_decision take(const table_update& update);
--- a/src/node/accept_controller.cpp
+++ b/src/node/accept_controller.cpp
@@ -159,9 +159,9 @@
             return std::nullopt;
         else if (committed)
         {
-            m_tables.introduce({record.version, record.digest,
-                                record.parent_digest, record.accepted_us,
-                                record.changes, std::nullopt});
+            m_tables.distribute({record.version, record.digest,
+                                 record.parent_digest, record.accepted_us,
+                                 record.changes, std::nullopt});
             m_mesh.board.decisions.note(
                 "accepted", "version " + std::to_string(record.version),
                 "compare at the head held",
--- a/src/node/distribution_controller.cpp
+++ b/src/node/distribution_controller.cpp
@@ -48,7 +48,7 @@
                [this](const json::object& p) { return on_watch(p); });
 }
 
-gate_decision distribution_controller::introduce(const table_update& update)
+gate_decision distribution_controller::distribute(const table_update& update)
 {
     const auto decision = take(update);
     if (decision != gate_decision::old && decision != gate_decision::corrupt)
--- a/src/node/source_controller.cpp
+++ b/src/node/source_controller.cpp
@@ -239,7 +239,7 @@
 {
     // The strategy decides to whom the version is sent.
     if (update.version > m_tables.current()->version())
-        m_tables.introduce(update);
+        m_tables.distribute(update);
 }
 
 } // namespace tillerhall
