--- a/include/tillerhall/node/distribution_controller.hpp
+++ b/include/tillerhall/node/distribution_controller.hpp
@@ -27,7 +27,7 @@
     gate_decision distribute(const table_update& update);
 
     /** Offers a version to the gate without sending it. */
-    gate_decision take(const table_update& update);
+    gate_decision offer(const table_update& update);
 
     /** Records that @p peer has @p version; pulls from it if that is newer. */
     void heard_of(std::uint64_t version, const address& peer);
--- a/src/node/distribution_controller.cpp
+++ b/src/node/distribution_controller.cpp
@@ -50,13 +50,13 @@
 
 gate_decision distribution_controller::distribute(const table_update& update)
 {
-    const auto decision = take(update);
+    const auto decision = offer(update);
     if (decision != gate_decision::old && decision != gate_decision::corrupt)
         deliver(update, key_range{});
     return decision;
 }
 
-gate_decision distribution_controller::take(const table_update& update)
+gate_decision distribution_controller::offer(const table_update& update)
 {
     const auto decision = m_gate.offer(update);
     count(decision, update);
@@ -176,7 +176,7 @@
     if (!is_meant_for(m_mesh.members.self(), message.range))
         return refusal(error_code::invalid_argument, "not this node's range");
     const auto before = current()->version();
-    const auto decision = take(message.update);
+    const auto decision = offer(message.update);
     const bool is_new = message.update.version > before;
     const bool in_tree = message.range != key_range{};
     // In a tree only this node forwards to its range, so it must do so even if
@@ -226,7 +226,7 @@
         const auto pulled = pull_answer_from_json(*answer);
         bool fits = true;
         for (const auto& update : pulled.updates)
-            fits = take(update) != gate_decision::corrupt && fits;
+            fits = offer(update) != gate_decision::corrupt && fits;
         if (pulled.take_whole || !fits)
             return pull_whole(peer);
         return true;
@@ -245,7 +245,7 @@
         return false;
     const auto update = update_from_json(*answer);
     if (update)
-        take(*update);
+        offer(*update);
     return static_cast<bool>(update);
 }
 
