--- a/include/tillerhall/node/distribution_controller.hpp
+++ b/include/tillerhall/node/distribution_controller.hpp
@@ -30,7 +30,7 @@
     gate_decision offer(const table_update& update);
 
     /** Records that @p peer has @p version; pulls from it if that is newer. */
-    void heard_of(std::uint64_t version, const address& peer);
+    void note_peer_version(std::uint64_t version, const address& peer);
 
     /** Pulls from @p peer. @return true if it answered. */
     bool pull_now(const address& peer);
@@ -47,7 +47,7 @@
     {
         return m_gate.greatest_seen();
     }
-    void must_reach(std::uint64_t version) noexcept { m_gate.saw(version); }
+    void note_version(std::uint64_t version) noexcept { m_gate.saw(version); }
     const distribution_strategy& strategy() const noexcept
     {
         return m_strategy;
@@ -69,7 +69,7 @@
                       const std::vector<address>& candidates);
 
     bool pull_once(const address& peer);
-    bool pull_whole(const address& peer);
+    bool pull_snapshot(const address& peer);
 
     watch_report watch_range(std::uint64_t version, const key_range& range);
     watch_report unreachable(const key_range& range);
--- a/include/tillerhall/node/messages.hpp
+++ b/include/tillerhall/node/messages.hpp
@@ -111,7 +111,7 @@
 {
     std::uint64_t version = 0;
     std::vector<table_update> updates;
-    bool take_whole = false;
+    bool needs_snapshot = false;
 };
 
 /** Nodes of one failure domain: at a version, and in total. */
--- a/src/node/distribution_controller.cpp
+++ b/src/node/distribution_controller.cpp
@@ -188,12 +188,12 @@
     if (sender && (decision == gate_decision::missing_parent ||
                    decision == gate_decision::corrupt ||
                    decision == gate_decision::too_far))
-        heard_of(message.update.version, *sender);
+        note_peer_version(message.update.version, *sender);
     return {{"v", current()->version()}};
 }
 
-void distribution_controller::heard_of(std::uint64_t version,
-                                       const address& peer)
+void distribution_controller::note_peer_version(std::uint64_t version,
+                                                const address& peer)
 {
     m_gate.saw(version);
     if (version <= current()->version() || m_pulling ||
@@ -227,8 +227,8 @@
         bool fits = true;
         for (const auto& update : pulled.updates)
             fits = offer(update) != gate_decision::corrupt && fits;
-        if (pulled.take_whole || !fits)
-            return pull_whole(peer);
+        if (pulled.needs_snapshot || !fits)
+            return pull_snapshot(peer);
         return true;
     }
     catch (const std::exception&)
@@ -237,7 +237,7 @@
     }
 }
 
-bool distribution_controller::pull_whole(const address& peer)
+bool distribution_controller::pull_snapshot(const address& peer)
 {
     const auto answer = m_mesh.pool.call(
         {peer, traffic_kind::snapshot, method::snapshot, {}, pull_timeout});
@@ -267,7 +267,7 @@
             return message;
         answer.updates.clear();
     }
-    answer.take_whole = true;
+    answer.needs_snapshot = true;
     return to_json(answer);
 }
 
--- a/src/node/membership_controller.cpp
+++ b/src/node/membership_controller.cpp
@@ -226,7 +226,7 @@
     m_freshness.heard(message.source_age_ms, steady_clock::now());
     auto& seen = m_versions_seen[peer];
     seen = std::max(seen, message.version);
-    m_tables.heard_of(message.version, peer);
+    m_tables.note_peer_version(message.version, peer);
     if (m_mesh.routes_heard)
         m_mesh.routes_heard(message.routes_version, peer);
     if (m_mesh.rollouts_heard && !message.rollouts.empty())
--- a/src/node/membership_joining.cpp
+++ b/src/node/membership_joining.cpp
@@ -111,7 +111,7 @@
             m_mesh.rollouts_heard(answer.rollouts);
         merge_all(answer.members, "join", propagation::none);
         m_freshness.heard(answer.source_age_ms, steady_clock::now());
-        m_tables.must_reach(std::max(answer.version, answer.floor));
+        m_tables.note_version(std::max(answer.version, answer.floor));
     }
     for (const auto& [peer, answer] : answers)
         if (answer.version > m_tables.current()->version())
--- a/src/node/messages.cpp
+++ b/src/node/messages.cpp
@@ -255,7 +255,7 @@
 json::object to_json(const pull_answer& sent)
 {
     json::object members{{"v", sent.version}};
-    if (sent.take_whole)
+    if (sent.needs_snapshot)
         members["w"] = 1;
     json::array updates;
     for (const auto& each : sent.updates)
@@ -268,7 +268,7 @@
 {
     pull_answer read;
     read.version = json::value_to<std::uint64_t>(members.at("v"));
-    read.take_whole = members.contains("w");
+    read.needs_snapshot = members.contains("w");
     for (const auto& each : members.at("u").as_array())
         read.updates.push_back(update_from(each.as_object()));
     return read;
--- a/src/node/source_controller.cpp
+++ b/src/node/source_controller.cpp
@@ -190,7 +190,7 @@
     if (!head)
         return;
     m_source_is_empty = head->version == 0;
-    m_tables.must_reach(head->version);
+    m_tables.note_version(head->version);
     const bool reads_whole_table =
         m_tables.strategy().polling() == source_polling::whole_each_node;
     if (reads_whole_table && head->version > 0)
