--- a/include/tillerhall/node/range_query.hpp
+++ b/include/tillerhall/node/range_query.hpp
@@ -11,7 +11,7 @@
 {
 
 /** A query; each receiver splits its range further. */
-struct range_question
+struct range_query
 {
     std::string method;
     traffic_kind kind = traffic_kind::watch;
@@ -26,7 +26,7 @@
  */
 template <class Take, class Missing>
 void ask_range(mesh_state& mesh,
-               const range_question& question,
+               const range_query& query,
                const key_range& range,
                Take take,
                Missing missing)
@@ -34,12 +34,12 @@
     constexpr milliseconds timeout(2000);
     const auto ask_part = [&](const range_part& part)
     {
-        auto params = question.params;
+        auto params = query.params;
         put_range(params, part.range);
         for (const auto& each : part.candidates)
         {
             const auto answer = mesh.pool.call(
-                {each, question.kind, question.method, params, timeout});
+                {each, query.kind, query.method, params, timeout});
             try
             {
                 if (answer)
