--- a/include/tillerhall/node/accept_controller.hpp
+++ b/include/tillerhall/node/accept_controller.hpp
@@ -1,4 +1,4 @@
-/** @file Accepts revised tables: the only writer of versions. */
+/** @file Accepts revised tables. The only writer of versions. */
 #pragma once
 
 #include "tillerhall/node/distribution_controller.hpp"
@@ -13,24 +13,23 @@
 namespace tillerhall
 {
 
-/** A table that an operator wants in force. */
+/** Request of an operator to put a table in force. */
 struct accept_request
 {
     config_table table;
     std::uint64_t base = 0; ///< the version it was edited from
-    std::string
-        accept_id; ///< names this accept; the same id never counts twice
+    std::string accept_id;  ///< idempotency key
     std::string author;
-    bool rebase = false; ///< take newer versions' edits of other cells in
+    bool rebase = false; ///< merge with edits of other cells in newer versions
 };
 
-/** How an accept ended. */
+/** Result of an accept. */
 struct accept_outcome
 {
     std::uint64_t version = 0;
     std::string digest;
-    bool unchanged = false; ///< the head holds just this table already
-    bool repeated = false;  ///< this accept id had already become `version`
+    bool unchanged = false; ///< the head already is this table
+    bool repeated = false; ///< this accept id was already accepted as `version`
     table_delta changes;
 
     /** Set when nothing was accepted. */
@@ -38,12 +37,12 @@
     std::vector<error> problems;           ///< of the table
     std::vector<merge_conflict> conflicts; ///< with a newer version
     std::uint64_t head = 0;                ///< the newer version
-    std::string rebased_draft; ///< CSV that would fit, when cells are disjoint
+    std::string rebased_draft; ///< CSV on top of `head`, if edits are disjoint
 };
 
 /**
- * Runs an accept as one compare-and-write at the head. No lease grants the
- * right to write: whoever was paused, or raced, fails the compare.
+ * Commits an accept by one compare-and-swap at the head. There is no lease: a
+ * writer that was paused or lost a race fails the comparison.
  */
 class accept_controller
 {
@@ -57,16 +56,16 @@
     {
     }
 
-    /** Accepts or refuses; on success the version is on its way to all. */
+    /** Accepts or refuses; on success the version is being distributed. */
     accept_outcome accept(accept_request request);
 
-    /** @return every problem of @p table, without accepting it. */
+    /** @return all problems of @p table, without accepting it. */
     std::vector<error> check(const config_table& table) const;
 
     table_store& store() noexcept { return m_store; }
 
 private:
-    /** @return nothing when the head moved and the accept must start anew. */
+    /** @return nullopt if the head has moved and the accept must be retried. */
     std::optional<accept_outcome> attempt(const accept_request& request);
     std::optional<accept_outcome> settle(const accept_request& request,
                                          const table_head& head,
--- a/src/node/accept_controller.cpp
+++ b/src/node/accept_controller.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-// Racing operators lose the compare at most this often before they are told.
+// Attempts after lost races before the operator gets a conflict.
 constexpr int most_attempts = 8;
 constexpr int most_lost_answers = 6;
 constexpr milliseconds least_wait(20);
@@ -132,7 +132,7 @@
         outcome.unchanged = true;
         return outcome;
     }
-    // The merge may have brought a name that nobody here has heard of.
+    // The merge may have added a name that this node does not know.
     if (auto problems = check(table); !problems.empty())
     {
         outcome = refuse(error(error_code::invalid_argument,
@@ -146,8 +146,8 @@
     backoff waits(least_wait, most_wait);
     for (int i = 0; i < most_lost_answers; ++i)
     {
-        // After a lost answer the same write is sent again: if the first one
-        // took effect, this one fails its compare and changes nothing.
+        // After a lost answer the same write is retried: if the first one took
+        // effect, this one fails its comparison and changes nothing.
         const auto committed = m_store.commit(head, record, table);
         if (!committed &&
             committed.reason().code() != error_code::outcome_unknown)
@@ -164,7 +164,7 @@
                                  record.changes, std::nullopt});
             m_mesh.board.decisions.note(
                 "accepted", "version " + std::to_string(record.version),
-                "compare at the head held",
+                "compare-and-swap at the head succeeded",
                 {{"cells", record.changes.size()},
                  {"author", record.author},
                  {"accept_id", record.accept_id}});
