--- a/include/tillerhall/node/accept_controller.hpp
+++ b/include/tillerhall/node/accept_controller.hpp
@@ -66,8 +66,8 @@
 
 private:
     /** @return nullopt if the head has moved and the accept must be retried. */
-    std::optional<accept_outcome> attempt(const accept_request& request);
-    std::optional<accept_outcome> settle(const accept_request& request,
+    std::optional<accept_outcome> try_accept(const accept_request& request);
+    std::optional<accept_outcome> commit(const accept_request& request,
                                          const table_head& head,
                                          const config_table& parent,
                                          const config_table& table);
--- a/src/node/accept_controller.cpp
+++ b/src/node/accept_controller.cpp
@@ -10,10 +10,10 @@
 {
 
 // Attempts after lost races before the operator gets a conflict.
-constexpr int most_attempts = 8;
-constexpr int most_lost_answers = 6;
-constexpr milliseconds least_wait(20);
-constexpr milliseconds most_wait(800);
+constexpr int max_attempts = 8;
+constexpr int max_lost_answers = 6;
+constexpr milliseconds min_wait(20);
+constexpr milliseconds max_wait(800);
 
 accept_outcome refuse(error reason)
 {
@@ -41,21 +41,21 @@
         outcome.problems = std::move(problems);
         return outcome;
     }
-    backoff waits(least_wait, most_wait);
-    for (int i = 0; i < most_attempts; ++i)
+    backoff waits(min_wait, max_wait);
+    for (int i = 0; i < max_attempts; ++i)
     {
-        if (auto outcome = attempt(request))
+        if (auto outcome = try_accept(request))
             return std::move(*outcome);
         sleep_for(m_mesh.on.io(), waits.next(m_mesh.random));
     }
     return refuse(error(error_code::conflict,
                         "other accepts came first " +
-                            std::to_string(most_attempts) + " times",
+                            std::to_string(max_attempts) + " times",
                         "try again with the same accept id"));
 }
 
 std::optional<accept_outcome>
-accept_controller::attempt(const accept_request& request)
+accept_controller::try_accept(const accept_request& request)
 {
     const auto known = m_store.find_accept(request.accept_id);
     if (!known)
@@ -76,7 +76,7 @@
     if (!parent)
         return refuse(parent.reason());
     if (head->version == request.base)
-        return settle(request, *head, *parent, request.table);
+        return commit(request, *head, *parent, request.table);
     if (request.base > head->version)
         return refuse(error(error_code::invalid_argument,
                             "base " + std::to_string(request.base) +
@@ -89,7 +89,7 @@
     const auto merged = merge(*base, request.table, *parent);
     if (!request.rebase || !merged.conflicts.empty())
         return conflict(request, *head, merged);
-    return settle(request, *head, *parent, merged.merged);
+    return commit(request, *head, *parent, merged.merged);
 }
 
 accept_outcome accept_controller::conflict(const accept_request& request,
@@ -117,7 +117,7 @@
 }
 
 std::optional<accept_outcome>
-accept_controller::settle(const accept_request& request,
+accept_controller::commit(const accept_request& request,
                           const table_head& head,
                           const config_table& parent,
                           const config_table& table)
@@ -143,8 +143,8 @@
     const version_record record{
         outcome.version, outcome.digest,  head.digest,    request.accept_id,
         request.author,  wall_clock_us(), outcome.changes};
-    backoff waits(least_wait, most_wait);
-    for (int i = 0; i < most_lost_answers; ++i)
+    backoff waits(min_wait, max_wait);
+    for (int i = 0; i < max_lost_answers; ++i)
     {
         // After a lost answer the same write is retried: if the first one took
         // effect, this one fails its comparison and changes nothing.
