--- a/src/node/watch.cpp
+++ b/src/node/watch.cpp
@@ -1,4 +1,4 @@
-/** @file The watching part of the distribution controller. */
+/** @file Distribution controller: progress of a version across the mesh. */
 #include "tillerhall/node/distribution_controller.hpp"
 #include "tillerhall/node/range_query.hpp"
 
@@ -12,7 +12,7 @@
 watch_report distribution_controller::watch(std::uint64_t version)
 {
     auto report = watch_range(version, key_range{});
-    // A suspect may only be paused: until it is found dead it counts.
+    // A suspect may only be paused, so it counts until it is declared dead.
     for (const auto& each : m_mesh.members.all())
         if (each.state == member_state::suspect)
             report.count(each.place.domain, each.rpc.text(), false);
