--- a/include/tillerhall/node/journal.hpp
+++ b/include/tillerhall/node/journal.hpp
@@ -1,4 +1,4 @@
-/** @file A node's account of its own decisions. */
+/** @file A bounded log of a node's own decisions. */
 #pragma once
 
 #include <boost/json/object.hpp>
@@ -11,23 +11,24 @@
 namespace tillerhall
 {
 
-/** One decision, why it was taken and the figures that led to it. */
+/** A decision with its reason and the values that led to it. */
 struct journal_entry
 {
-    std::int64_t time_us = 0;
-    std::string decision; ///< such as "applied", "became_reader"
+    std::int64_t time_us = 0; ///< Unix time
+    std::string decision;     ///< such as "applied", "became_reader"
     std::string reason;
     std::string subject; ///< a service, a node or a version
     boost::json::object figures;
 };
 
-/** The last decisions, bounded. Lock order: a leaf. */
+/** Keeps the latest decisions. Thread-safe; its lock is a leaf in the lock
+ * order. */
 class journal
 {
 public:
     static constexpr std::size_t most_kept = 512;
 
-    /** Adds an entry at the present wall clock and logs it. */
+    /** Adds an entry with the current time and logs it. */
     void note(std::string decision,
               std::string subject,
               std::string reason,
