--- a/include/tillerhall/node/suspect_news.hpp
+++ b/include/tillerhall/node/suspect_news.hpp
@@ -1,4 +1,4 @@
-/** @file Publishes which calls are held, and tells of new ones. */
+/** @file Publishes quarantined calls and logs new ones. */
 #pragma once
 
 namespace tillerhall
@@ -8,8 +8,9 @@
 class member_list;
 
 /**
- * Makes the view of suspects anew after @p members changed. One line for each
- * call that is held from now on; docs/OPERATORS.md says what to do then.
+ * Rebuilds the view of poison calls after @p members have changed. Writes one
+ * journal entry for each newly quarantined call; docs/OPERATORS.md describes
+ * the remedy.
  */
 void publish_suspects(blackboard& board, const member_list& members);
 
--- a/src/node/suspect_news.cpp
+++ b/src/node/suspect_news.cpp
@@ -16,7 +16,7 @@
     for (const auto& each : known.ends)
         owners.emplace_back(each.owner.text());
     decisions.note(
-        "call_held", call, "targets ended under it",
+        "call_held", call, "targets crashed under it",
         {{"ends", known.ends.size()}, {"owners", std::move(owners)}});
 }
 
