--- a/src/node/suspect_news.cpp
+++ b/src/node/suspect_news.cpp
@@ -8,9 +8,9 @@
 namespace
 {
 
-void note_held(journal& decisions,
-               const std::string& call,
-               const ends_under_call& known)
+void note_quarantined(journal& decisions,
+                      const std::string& call,
+                      const ends_under_call& known)
 {
     boost::json::array owners;
     for (const auto& each : known.ends)
@@ -30,7 +30,7 @@
     if (next->empty())
         return;
     for (const auto& call : next->newly_held(*before, wall_clock_ms()))
-        note_held(board.decisions, call, *next->find(call));
+        note_quarantined(board.decisions, call, *next->find(call));
 }
 
 } // namespace tillerhall
