--- a/include/tillerhall/node/pulse.hpp
+++ b/include/tillerhall/node/pulse.hpp
@@ -1,4 +1,4 @@
-/** @file Tells whether this process has been running all along. */
+/** @file Detects stalls of the control plane. */
 #pragma once
 
 #include "tillerhall/core/time.hpp"
@@ -10,13 +10,13 @@
 
 /**
  * Ticks while the control plane runs. After a pause of the whole process the
- * last tick is long ago, so that a call handled before the control plane
- * wakes up is refused all the same. Safe for threads.
+ * last tick is too old, so that calls are refused even before the control
+ * plane runs again. Thread-safe.
  */
 class pulse
 {
 public:
-    /** @param limit longest time without a tick that is no pause */
+    /** @param limit longest time without a tick that is not a stall */
     explicit pulse(duration limit = std::chrono::seconds(2)) noexcept
         : m_limit_ms(to_ms(limit))
         , m_last_ms(now_ms())
