--- a/include/tillerhall/node/target_controller.hpp
+++ b/include/tillerhall/node/target_controller.hpp
@@ -1,4 +1,4 @@
-/** @file Watches the target beside this node. */
+/** @file Health checks of this node's target. */
 #pragma once
 
 #include "tillerhall/http/api_client.hpp"
@@ -7,20 +7,20 @@
 namespace tillerhall
 {
 
-/** Checks the target's health and tells the mesh when it changes. */
+/** Checks the target's health and announces changes to the mesh. */
 class target_controller
 {
 public:
     target_controller(mesh_state& mesh, membership_controller& membership);
 
-    /** Checks once before joining, so that the first record is true. */
+    /** Checks once before joining, so that the first record is correct. */
     void check_first();
 
-    /** Keeps checking. */
+    /** Starts periodic checks. */
     void start();
 
-    /** Tells every node of an end of the target, or that a call that was named
-     * in one has run well. */
+    /** Announces a crash of the target, or a good run of a call that was listed
+     * in a crash, to all members. */
     void tell(const target_end& end);
     void tell(const good_run& run);
 
--- a/src/node/target_controller.cpp
+++ b/src/node/target_controller.cpp
@@ -8,7 +8,7 @@
 {
 
 constexpr milliseconds check_timeout(1000);
-// One failed check may be chance; calls that fail count by themselves.
+// A single failed check may be transient.
 constexpr unsigned failures_to_down = 2;
 constexpr unsigned draining_status = 503;
 
@@ -79,7 +79,7 @@
     m_failures_in_row = healthy ? 0 : m_failures_in_row + 1;
     if (healthy)
         return target_state::serving;
-    // A target that says 503 itself asks for no more work, at once.
+    // A target that answers 503 asks for no more work.
     if (response && response->status == draining_status)
         return target_state::draining;
     if (m_failures_in_row >= failures_to_down)
