--- a/include/tillerhall/node/target_controller.hpp
+++ b/include/tillerhall/node/target_controller.hpp
@@ -31,7 +31,7 @@
     mesh_state& m_mesh;
     membership_controller& m_membership;
     api_client m_client;
-    unsigned m_failures_in_row = 0;
+    unsigned m_consecutive_failures = 0;
 };
 
 } // namespace tillerhall
--- a/src/node/target_controller.cpp
+++ b/src/node/target_controller.cpp
@@ -76,13 +76,13 @@
     const auto response = m_client.call("GET", m_mesh.config.target_health_path,
                                         "", check_timeout);
     const bool healthy = response && response->status < 300;
-    m_failures_in_row = healthy ? 0 : m_failures_in_row + 1;
+    m_consecutive_failures = healthy ? 0 : m_consecutive_failures + 1;
     if (healthy)
         return target_state::serving;
     // A target that answers 503 asks for no more work.
     if (response && response->status == draining_status)
         return target_state::draining;
-    if (m_failures_in_row >= failures_to_down)
+    if (m_consecutive_failures >= failures_to_down)
         return target_state::down;
     return m_mesh.members.self().target_is;
 }
