--- a/include/tillerhall/node/end_register.hpp
+++ b/include/tillerhall/node/end_register.hpp
@@ -1,4 +1,4 @@
-/** @file What runs at the target beside a node that follows the table. */
+/** @file Calls running at the target of a node that follows the table. */
 #pragma once
 
 #include "tillerhall/membership/good_run.hpp"
@@ -16,33 +16,36 @@
 
 class inbound_call;
 
-/** @return what a target reads of @p call; of a long body the first 64 KB. */
+/** @return the part of @p call that its fingerprint is computed from; of a long
+ * body the first 64 KB. */
 whole_request named_part(const inbound_call& call);
 
-/** @return how @p call is held, until it may be tried again. */
+/** @return the quarantine of @p call, or nullopt if it may run. */
 std::optional<call_hold> hold_on(const suspect_calls& known,
                                  const inbound_call& call);
 
 /**
- * Names the calls that run at the target when it ends, and those that run well
- * though they were named. For all workers. Lock order: a leaf.
+ * Reports the calls that were running when the target crashed, and those of
+ * them that later run well. Used by all workers; its lock is a leaf in the lock
+ * order.
  */
 class end_register
 {
 public:
-    /** Called on any worker with what the other nodes should be told. */
+    /** Called on any worker with what shall be announced to the other nodes. */
     struct news
     {
         std::function<void(const target_end&)> ended;
         std::function<void(const good_run&)> ran_well;
     };
 
-    /** Registers a run for as long as it lives. */
+    /** Registers a run during its lifetime. */
     class run : public boost::intrusive::list_base_hook<
                     boost::intrusive::link_mode<boost::intrusive::normal_link>>
     {
     public:
-        /** @param call its body's first part was read; outlives the run */
+        /** @param call must have read the prefix of its body; must outlive the
+         * run */
         run(end_register& in, const inbound_call& call);
         ~run();
 
@@ -58,10 +61,11 @@
 
     void set_news(news actions) { m_news = std::move(actions); }
 
-    /** @p target refuses connections after a call to it was lost. */
+    /** Called when @p target refuses connections after a call to it was lost.
+     */
     void target_ended(const std::string& target);
 
-    /** @p call ran to a good end. */
+    /** Called when @p call has succeeded. */
     void ran_well(const inbound_call& call, const suspect_calls& known);
 
 private:
--- a/src/node/end_register.cpp
+++ b/src/node/end_register.cpp
@@ -13,8 +13,8 @@
 
 namespace http = boost::beast::http;
 
-// A process takes longer to start again; all runs that its end cut short are
-// told of it within this.
+// All runs that a crash interrupts notice it within this time; a process takes
+// longer to restart.
 constexpr milliseconds least_time_between_ends(300);
 
 } // namespace
@@ -58,7 +58,7 @@
     const std::lock_guard lock(m_mutex);
     const auto now = steady_clock::now();
     if (now < m_ended_at + least_time_between_ends)
-        return std::nullopt; // another run that was there has told it
+        return std::nullopt; // already reported by another run
     m_ended_at = now;
     std::set<std::string> calls;
     for (const auto& each : m_runs)
