--- a/include/tillerhall/node/end_register.hpp
+++ b/include/tillerhall/node/end_register.hpp
@@ -18,7 +18,7 @@
 
 /** @return the part of @p call that its fingerprint is computed from; of a long
  * body the first 64 KB. */
-whole_request named_part(const inbound_call& call);
+whole_request fingerprinted_part(const inbound_call& call);
 
 /** @return the quarantine of @p call, or nullopt if it may run. */
 std::optional<call_hold> hold_on(const suspect_calls& known,
@@ -69,12 +69,12 @@
     void ran_well(const inbound_call& call, const suspect_calls& known);
 
 private:
-    std::optional<target_end> end_of(const std::string& target);
+    std::optional<target_end> crash_of(const std::string& target);
 
     std::mutex m_mutex;
     boost::intrusive::list<run> m_runs;
     recent_runs m_ran_well;
-    time_point m_ended_at{};
+    time_point m_crashed_at{};
     news m_news;
 };
 
--- a/src/node/end_register.cpp
+++ b/src/node/end_register.cpp
@@ -15,19 +15,19 @@
 
 // All runs that a crash interrupts notice it within this time; a process takes
 // longer to restart.
-constexpr milliseconds least_time_between_ends(300);
+constexpr milliseconds min_time_between_crashes(300);
 
 } // namespace
 
-whole_request named_part(const inbound_call& call)
+whole_request fingerprinted_part(const inbound_call& call)
 {
     const auto& head = call.head();
-    whole_request named;
-    named.method_string(head.method_string());
-    named.target(head.target());
-    named.set(http::field::host, head[http::field::host]);
-    named.body() = call.prefix();
-    return named;
+    whole_request request;
+    request.method_string(head.method_string());
+    request.target(head.target());
+    request.set(http::field::host, head[http::field::host]);
+    request.body() = call.prefix();
+    return request;
 }
 
 std::optional<call_hold> hold_on(const suspect_calls& known,
@@ -35,7 +35,7 @@
 {
     if (known.empty())
         return std::nullopt;
-    const auto hold = hold_of(known, named_part(call));
+    const auto hold = hold_of(known, fingerprinted_part(call));
     return hold && !hold->may_be_tried(false) ? hold : std::nullopt;
 }
 
@@ -53,27 +53,28 @@
     m_in.m_runs.erase(m_in.m_runs.iterator_to(*this));
 }
 
-std::optional<target_end> end_register::end_of(const std::string& target)
+std::optional<target_end> end_register::crash_of(const std::string& target)
 {
     const std::lock_guard lock(m_mutex);
     const auto now = steady_clock::now();
-    if (now < m_ended_at + least_time_between_ends)
+    if (now < m_crashed_at + min_time_between_crashes)
         return std::nullopt; // already reported by another run
-    m_ended_at = now;
+    m_crashed_at = now;
     std::set<std::string> calls;
     for (const auto& each : m_runs)
     {
-        const auto named = named_part(each.call());
-        if (!m_ran_well.contain(named) && calls.size() < target_end::most_calls)
-            calls.insert(fingerprint_of(named).text());
-        m_ran_well.forget(named);
+        const auto request = fingerprinted_part(each.call());
+        if (!m_ran_well.contain(request) &&
+            calls.size() < target_end::most_calls)
+            calls.insert(fingerprint_of(request).text());
+        m_ran_well.forget(request);
     }
     return target_end{target, wall_clock_ms(), {calls.begin(), calls.end()}};
 }
 
 void end_register::target_ended(const std::string& target)
 {
-    const auto end = end_of(target);
+    const auto end = crash_of(target);
     if (end && m_news.ended)
         m_news.ended(*end);
 }
@@ -81,15 +82,15 @@
 void end_register::ran_well(const inbound_call& call,
                             const suspect_calls& known)
 {
-    const auto named = named_part(call);
+    const auto request = fingerprinted_part(call);
     {
         const std::lock_guard lock(m_mutex);
-        const bool again = m_ran_well.contain(named);
-        m_ran_well.ran(named);
+        const bool again = m_ran_well.contain(request);
+        m_ran_well.ran(request);
         if (!again || known.empty())
             return;
     }
-    const auto name = fingerprint_of(named).text();
+    const auto name = fingerprint_of(request).text();
     if (known.find(name) != nullptr && m_news.ran_well)
         m_news.ran_well({name, wall_clock_ms()});
 }
