--- a/src/node/source_controller.cpp
+++ b/src/node/source_controller.cpp
@@ -17,7 +17,7 @@
 // A node that is no reader reads after this many polls without a read by any
 // node.
 constexpr int polls_before_reading = 5;
-// Up to this many versions current, version records are read instead of the
+// Up to this many versions behind, version records are read instead of the
 // table.
 constexpr std::uint64_t max_records_read = 4;
 // The host list changes rarely; it is read once in this many reads of the head.
@@ -78,7 +78,7 @@
     if (joined && m_tables.current()->version() > 0)
         return is_caught_up();
     if (joined && is_recently_read())
-        m_source_is_empty = true; // else the peers would before_wait a table
+        m_source_is_empty = true; // else the peers would have a table
     else
     {
         // No peer has a table, so it is read from the source, rate limited.
