--- a/include/tillerhall/node/settings.hpp
+++ b/include/tillerhall/node/settings.hpp
@@ -1,4 +1,4 @@
-/** @file A node's settings: what they are, and reading them from YAML. */
+/** @file The settings of a node and their YAML reader. */
 #pragma once
 
 #include "tillerhall/core/address.hpp"
@@ -15,7 +15,7 @@
 namespace tillerhall
 {
 
-/** Everything a node is told from outside. Times are milliseconds. */
+/** The settings of a node. The unit of a time is the suffix of its name. */
 struct settings
 {
     address rpc;
@@ -29,13 +29,13 @@
     std::int64_t workers = 1;
     std::int64_t drain_ms = 30'000;
 
-    /** Only of a node that follows routes in a feed; see `mesh_node`. */
-    address ready; ///< answers whether this node takes calls
+    /** Used only by a node that follows routes in a feed; see `mesh_node`. */
+    address ready; ///< readiness endpoint
     double stop_grace_s = 6;
-    double retry_ratio = 0.2; ///< second sends for each call, fleet-wide
-    double retry_extra = 10;  ///< second sends beyond that, fleet-wide
+    double retry_ratio = 0.2; ///< retries per call, of all nodes
+    double retry_extra = 10;  ///< retries in a window beyond that, of all nodes
     double retry_window_s = 10;
-    double link_mbps = 0; ///< of this host's link; 0 if not told
+    double link_mbps = 0; ///< of this host's link; 0 if unknown
 
     std::string service;
     address target;
@@ -49,7 +49,7 @@
     address objects;
     address hosts;
     std::int64_t platform_timeout_ms = 2'000;
-    /** Writes that one part of the store takes a second, from all nodes. */
+    /** Write capacity of one part of the store, shared by all nodes. */
     std::int64_t part_writes_per_s = 150;
 
     std::vector<address> seeds;
@@ -65,23 +65,23 @@
 
     std::string policy = "two_choices";
 
-    /** See `rollout_plan`. At a tenth a release that fails always costs as much
-     * in the whole time of its order as one let in at once in a tenth of it. */
+    /** Greatest share of calls of a release that isn't shown to be
+     * non-inferior; see `rollout_plan`. */
     double exposure_share = 0.1;
 
-    /** By how much all nodes together may pass an account's quota while counts
-     * are on their way; see `quota_ledger`. */
+    /** Overage of an account's quota that all nodes together may reach while
+     * counts are in transit; see `quota_ledger`. */
     double quota_overage = 0.1; ///< as a share of the quota
     double quota_extra = 20;    ///< calls beyond that
 
-    /** By service; a service without one has the default. */
+    /** By service; other services have the default objective. */
     std::map<std::string, objective> objectives;
 
     std::string token_file;
     std::string log_level = "info";
 };
 
-/** One setting: its path in the file, its field and what it may hold. */
+/** Description of one setting. */
 struct setting
 {
     using field = std::variant<std::string settings::*,
@@ -93,15 +93,15 @@
     std::string_view path; ///< "section.key"
     field into;
     bool required;
-    std::int64_t least; ///< of a number
-    std::int64_t most;  ///< of a number
+    std::int64_t least; ///< smallest valid number
+    std::int64_t most;  ///< greatest valid number
     std::string_view help;
 };
 
-/** @return every setting, in the order of docs/SETTINGS.md. */
+/** @return all settings in the order of docs/SETTINGS.md. */
 std::span<const setting> setting_table() noexcept;
 
-/** Settings read, or every problem found. */
+/** The settings read; valid only if there are no problems. */
 struct settings_outcome
 {
     settings read;
@@ -109,8 +109,8 @@
 };
 
 /**
- * Reads and checks YAML.
- * @param name the file's name, for the messages
+ * Parses and checks YAML.
+ * @param name the file's name, for messages
  */
 settings_outcome parse_settings(const std::string& yaml,
                                 const std::string& name);
--- a/src/node/settings.cpp
+++ b/src/node/settings.cpp
@@ -18,7 +18,7 @@
 
 constexpr std::string_view objectives_section = "objectives";
 
-/** Reads one file's nodes into settings and collects what is wrong. */
+/** Reads a YAML document into settings and collects all problems. */
 class settings_reader
 {
 public:
@@ -43,10 +43,10 @@
     }
 
 private:
-    /** @return the key as it stands, or what no setting is called. */
+    /** @return the key, or a text that is no setting's name. */
     static std::string text_of(const YAML::Node& key)
     {
-        return key.IsScalar() ? key.Scalar() : "(a key that is no text)";
+        return key.IsScalar() ? key.Scalar() : "(a key that is not a text)";
     }
 
     void read_document(const YAML::Node& document)
@@ -54,7 +54,7 @@
         if (!document.IsMap())
             return fail(document.Mark(), error_code::bad_syntax,
                         "the settings are not a mapping of sections",
-                        "start with node:");
+                        "write sections such as node: at the top level");
         for (const auto& section : document)
             read_section(text_of(section.first), section.first.Mark(),
                          section.second);
@@ -132,7 +132,7 @@
         }
         catch (const YAML::Exception&)
         {
-            // told below, as for a number out of range
+            // reported below, like a number out of range
         }
         fail(key.Mark(), error_code::out_of_range,
              "objectives." + service + "." + name + " does not fit",
@@ -245,7 +245,7 @@
         return {};
     }
 
-    /** Checks the texts that must be one of a list of names. */
+    /** Checks settings whose values are names from a list. */
     void check_names()
     {
         const auto& read = m_outcome.read;
@@ -261,7 +261,7 @@
                 "choose one of: debug info warn error");
     }
 
-    /** @return the known keys of the same section, or all sections. */
+    /** @return the known keys of the same section, or else all sections. */
     static std::string nearest_to(const std::string& path)
     {
         const auto section = path.substr(0, path.find('.') + 1);
