--- a/include/tillerhall/node/settings.hpp
+++ b/include/tillerhall/node/settings.hpp
@@ -65,8 +65,8 @@
 
     std::string policy = "two_choices";
 
-    /** Greatest share of calls of a release that isn't shown to be
-     * non-inferior; see `rollout_plan`. */
+    /** Greatest share of a service's calls that a release may get before it is
+     * shown to be non-inferior; see `rollout_plan`. */
     double exposure_share = 0.1;
 
     /** Overage of an account's quota that all nodes together may reach while
