--- a/tests/unit/membership.cpp
+++ b/tests/unit/membership.cpp
@@ -26,16 +26,16 @@
 
 } // namespace
 
-TEST_CASE("member lists agree whatever order the records came in")
+TEST_CASE("merging member records is independent of order and repetition")
 {
-    rc::prop("order and repeats do not matter",
+    rc::prop("merges in any order give equal lists",
              [](std::vector<member> records, std::uint64_t seed)
              {
                  const auto self = make_member(100);
                  member_list first(self);
                  member_list second(self);
-                 // Dead records of unknown nodes are not taken, so every node
-                 // is known alive first.
+                 // Dead records of unknown nodes are ignored, so each node is
+                 // added as alive first.
                  for (auto each : records)
                  {
                      each.state = member_state::alive;
@@ -57,7 +57,8 @@
              });
 }
 
-TEST_CASE("a record survives the wire, and a bad one is refused")
+TEST_CASE("a member record round-trips through JSON; a malformed one is "
+          "rejected")
 {
     rc::prop("round trip",
              [](const member& sent)
@@ -73,7 +74,7 @@
         CHECK_FALSE(member_from_json(boost::json::parse(bad)));
 }
 
-TEST_CASE("a node called dead refutes, and its refutation wins everywhere")
+TEST_CASE("a node marked dead refutes, and its refutation supersedes")
 {
     member_list own(make_member(1));
     member_list other(make_member(2));
@@ -100,7 +101,7 @@
     CHECK(list.find(newer.rpc)->service == "other");
 }
 
-TEST_CASE("the dead are forgotten in time and do not come back by themselves")
+TEST_CASE("dead records are removed after their retention and not re-added")
 {
     member_list list(make_member(1));
     const time_point start{};
@@ -117,43 +118,45 @@
     CHECK(list.services().contains("s"));
 }
 
-TEST_CASE("suspicion becomes death only in its time, and an answer ends it")
+TEST_CASE(
+    "a suspect is declared dead only after the timeout; an answer cancels "
+    "it")
 {
     member_list list(make_member(1));
     list.merge(make_member(2));
     const address node{"127.0.0.1", 2};
-    suspicion watch({std::chrono::seconds(3)});
+    suspicion detector({std::chrono::seconds(3)});
     const time_point start = steady_clock::now();
-    CHECK(watch.failed(list, node, start));
-    CHECK_FALSE(watch.failed(list, node, start));
+    CHECK(detector.failed(list, node, start));
+    CHECK_FALSE(detector.failed(list, node, start));
     CHECK(list.find(node)->state == member_state::suspect);
-    CHECK(watch.expire(list, start + std::chrono::seconds(2)).empty());
-    watch.answered(node);
+    CHECK(detector.expire(list, start + std::chrono::seconds(2)).empty());
+    detector.answered(node);
     auto refuted = *list.find(node);
     refuted.state = member_state::alive;
     ++refuted.incarnation;
     list.merge(refuted);
-    CHECK(watch.expire(list, start + std::chrono::seconds(60)).empty());
-    CHECK(watch.failed(list, node, start));
-    CHECK(watch.expire(list, start + std::chrono::seconds(4)).size() == 1);
+    CHECK(detector.expire(list, start + std::chrono::seconds(60)).empty());
+    CHECK(detector.failed(list, node, start));
+    CHECK(detector.expire(list, start + std::chrono::seconds(4)).size() == 1);
     CHECK(list.find(node)->state == member_state::dead);
 }
 
-TEST_CASE("a node whose own calls all fail takes longer to bury others")
+TEST_CASE("the suspicion timeout grows when all of a node's own calls fail")
 {
     member_list list(make_member(1));
-    suspicion watch({std::chrono::seconds(1)});
+    suspicion detector({std::chrono::seconds(1)});
     const time_point start = steady_clock::now();
     for (std::uint16_t port = 2; port < 8; ++port)
     {
         list.merge(make_member(port));
-        watch.failed(list, {"127.0.0.1", port}, start);
+        detector.failed(list, {"127.0.0.1", port}, start);
     }
-    CHECK(watch.expire(list, start + std::chrono::seconds(5)).empty());
-    CHECK(watch.expire(list, start + std::chrono::seconds(9)).size() == 6);
+    CHECK(detector.expire(list, start + std::chrono::seconds(5)).empty());
+    CHECK(detector.expire(list, start + std::chrono::seconds(9)).size() == 6);
 }
 
-TEST_CASE("heartbeats reach every member in time, the dead now and then")
+TEST_CASE("heartbeats reach every member, dead ones included")
 {
     member_list list(make_member(1));
     for (std::uint16_t port = 2; port < 12; ++port)
@@ -169,7 +172,7 @@
           heartbeat_schedule::successors);
 }
 
-TEST_CASE("the ring gives every node a watcher")
+TEST_CASE("every node is a ring successor of another node")
 {
     std::set<address> watched;
     for (std::uint16_t own = 1; own <= 20; ++own)
@@ -183,7 +186,7 @@
     CHECK(watched.size() == 20);
 }
 
-TEST_CASE("rumors are sent a bounded number of times, a few a message")
+TEST_CASE("rumors are sent a bounded number of times in bounded messages")
 {
     member_list list(make_member(1));
     rumor_queue rumors;
@@ -201,11 +204,11 @@
         sent += taken.size();
         ++messages;
     }
-    // 31 live members and one more have a logarithm of 6 bits.
+    // std::bit_width(31 live members + 1) is 6.
     CHECK(sent == 30 * rumor_queue::repeat_factor * 6);
 }
 
-TEST_CASE("each failure domain has its readers, chosen alike by all")
+TEST_CASE("all nodes choose the same readers of each failure domain")
 {
     std::size_t readers = 0;
     for (std::uint16_t own = 1; own <= 30; ++own)
@@ -220,7 +223,7 @@
     CHECK(readers == 6);
 }
 
-TEST_CASE("what a boot told of its targets outlives it with every member")
+TEST_CASE("departed targets reported by an earlier boot are kept")
 {
     member before;
     before.rpc = {"127.0.0.1", 7};
@@ -238,7 +241,7 @@
     const std::vector<std::string> all{"t1", "t2", "t3"};
     CHECK(peer.find(after.rpc)->left_targets == all);
 
-    // The new boot learns it from a record that is older than its own.
+    // The new boot learns of them from an older record of its own.
     member_list own(after);
     CHECK(own.merge(before) == merge_result::changed);
     CHECK(own.self().left_targets == all);
@@ -247,7 +250,7 @@
     CHECK(own.merge(*peer.find(after.rpc)) == merge_result::unchanged);
 }
 
-TEST_CASE("member records keep all their fields over the wire")
+TEST_CASE("departed targets round-trip; records of the first format are read")
 {
     member sent;
     sent.rpc = sent.peer = sent.caller = sent.operators = {"127.0.0.1", 7};
@@ -257,7 +260,7 @@
     const auto read = member_from_json(to_json(sent));
     REQUIRE(read);
     CHECK(*read == sent);
-    // A record of the format before has no such fields.
+    // The first format has 11 fields.
     auto shorter = to_json(sent);
     shorter.as_array().resize(11);
     const auto old = member_from_json(shorter);
@@ -279,7 +282,7 @@
     member_list members(make_member(100));
     members.merge(node(1, member_state::alive, target_state::serving));
     members.merge(node(2, member_state::leaving, target_state::serving));
-    // A target that leaves itself gets no work, whatever its node does.
+    // A draining target gets no calls, whatever the state of its node.
     members.merge(node(3, member_state::leaving, target_state::draining));
     members.merge(node(4, member_state::alive, target_state::draining));
     const service_targets view(members);
