--- a/tests/unit/settings.cpp
+++ b/tests/unit/settings.cpp
@@ -34,7 +34,7 @@
 
 } // namespace
 
-TEST_CASE("good settings are read, with defaults for what is left out")
+TEST_CASE("valid settings are read, with defaults for missing ones")
 {
     const auto outcome = parse_settings(
         good + "mesh:\n  seeds: [127.0.0.1:7101, 127.0.0.1:7102]\n", "s.yaml");
@@ -45,7 +45,7 @@
     CHECK(outcome.read.strategy == "tree");
 }
 
-TEST_CASE("every wrong setting is reported at once with line and remedy")
+TEST_CASE("all invalid settings are reported together, with line and remedy")
 {
     const auto text = all_messages(parse_settings(good + R"(mesh:
   heartbeat_ms: soon
@@ -92,7 +92,7 @@
                Catch::Contains("cannot read"));
 }
 
-TEST_CASE("keys that are no text are refused like any unknown key")
+TEST_CASE("keys that are not scalars are rejected like unknown keys")
 {
     for (const std::string yaml :
          {"? [a, b]\n: {c: d}\n", "node:\n  ? [a]\n  : b\n",
