--- a/tests/unit/settings.cpp
+++ b/tests/unit/settings.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-const std::string good = R"(
+const std::string valid_settings = R"(
 node:
   rpc: 127.0.0.1:7100
   peer: 127.0.0.1:7200
@@ -37,7 +37,8 @@
 TEST_CASE("valid settings are read, with defaults for missing ones")
 {
     const auto outcome = parse_settings(
-        good + "mesh:\n  seeds: [127.0.0.1:7101, 127.0.0.1:7102]\n", "s.yaml");
+        valid_settings + "mesh:\n  seeds: [127.0.0.1:7101, 127.0.0.1:7102]\n",
+        "s.yaml");
     INFO(all_messages(outcome));
     REQUIRE(outcome.problems.empty());
     CHECK(outcome.read.rpc.port == 7100);
@@ -47,7 +48,7 @@
 
 TEST_CASE("all invalid settings are reported together, with line and remedy")
 {
-    const auto text = all_messages(parse_settings(good + R"(mesh:
+    const auto text = all_messages(parse_settings(valid_settings + R"(mesh:
   heartbeat_ms: soon
   heartbeat: 5
   seeds: 127.0.0.1:1
