--- a/tests/integration/accepting.cpp
+++ b/tests/integration/accepting.cpp
@@ -1,4 +1,5 @@
-/** @file Accepts under races, lost answers and outages, and bad input. */
+/** @file Accepts under races, lost answers and outages, and with invalid input.
+ */
 #include "system.hpp"
 
 #include <csignal>
@@ -18,7 +19,7 @@
 
 } // namespace
 
-TEST_CASE("an accepted cell is in force on every node, and history tells of it")
+TEST_CASE("an accepted cell is in force on every node and in the history")
 {
     on_worker(
         [](worker& on)
@@ -44,7 +45,7 @@
         });
 }
 
-TEST_CASE("an answer lost after the write is settled, never accepted twice")
+TEST_CASE("an accept whose answer was lost is retried and accepted once")
 {
     on_worker(
         [](worker& on)
@@ -67,19 +68,19 @@
         });
 }
 
-TEST_CASE("of five racing operators with the same base one wins, none is lost")
+TEST_CASE("one of five concurrent accepts wins; the others rebase")
 {
     on_worker(
         [](worker& on)
         {
             started_cluster system(on, small());
             std::vector<boost::json::object> answers(5);
-            std::vector<worker::task> racers;
+            std::vector<worker::task> tasks;
             for (std::size_t i = 0; i < answers.size(); ++i)
-                racers.emplace_back(
+                tasks.emplace_back(
                     [&, i]
                     {
-                        // Each edits a row of its own.
+                        // Each edits a different row.
                         if (auto answer = system.accept(
                                 i,
                                 with_weight(system.csv(),
@@ -87,7 +88,7 @@
                                 1, "racer-" + std::to_string(i)))
                             answers[i] = *answer;
                     });
-            run_parallel(std::move(racers));
+            run_parallel(std::move(tasks));
             const auto won = std::ranges::count_if(
                 answers, [](const boost::json::object& each)
                 { return number(each, "http_status") == 200; });
@@ -117,7 +118,7 @@
         });
 }
 
-TEST_CASE("the same cell edited twice is shown side by side")
+TEST_CASE("conflicting edits of a cell are reported with both values")
 {
     on_worker(
         [](worker& on)
@@ -135,7 +136,7 @@
         });
 }
 
-TEST_CASE("with the source down accepts fail clearly and nothing is half done")
+TEST_CASE("accepts fail without partial effects while the source is down")
 {
     on_worker(
         [](worker& on)
@@ -147,7 +148,7 @@
             REQUIRE(refused);
             CHECK(number(*refused, "http_status") == 503);
             CHECK(refused->at("remedy").as_string().size() > 10);
-            // Nodes run on, and one that comes back gets the table from peers.
+            // A node that restarts meanwhile gets the table from its peers.
             REQUIRE(system.restart(5));
             CHECK(system.wait_until([&] { return system.version(5) == 1; }));
             CHECK(system.wait_until(
@@ -167,7 +168,7 @@
         });
 }
 
-TEST_CASE("a paused accepter that resumes brings nothing back")
+TEST_CASE("a node that resumes from a pause doesn't revert newer versions")
 {
     on_worker(
         [](worker& on)
@@ -189,7 +190,7 @@
             sleep_for(on.io(), std::chrono::seconds(3));
             system.nodes()[0].runs.send(SIGCONT);
             CHECK(system.wait_until([&] { return system.version(0) == 2; }));
-            // Its accept from before the pause loses the compare.
+            // An accept with the base from before the pause is a conflict.
             const auto late =
                 system.accept(0, with_weight(system.csv(), 71), 1, "late");
             REQUIRE(late);
@@ -199,7 +200,7 @@
         });
 }
 
-TEST_CASE("tables that the mesh cannot act on, and bad tokens, are refused")
+TEST_CASE("invalid tables, tokens and requests are rejected")
 {
     on_worker(
         [](worker& on)
