--- a/tests/integration/gathered_news.cpp
+++ b/tests/integration/gathered_news.cpp
@@ -1,8 +1,7 @@
-/** @file News of members in a mesh whose broadcasts take more than two steps.
+/** @file Batched announcements in a mesh whose broadcasts take over two hops.
  *
- * The story: after a loss of all power 985 nodes started at once, and each told
- * all others of its join and of its target by a broadcast of its own: some
- * 2,000 messages to each node, for seconds in which nearly all calls were late.
+ * Guards against overload when all nodes start at the same time and each
+ * broadcasts its join and its target to all others.
  */
 #include "mesh_system.hpp"
 
@@ -13,7 +12,7 @@
 {
 
 constexpr std::size_t nodes = 14;
-// A broadcast of fanout 2 reaches seven members in two steps.
+// A broadcast of fanout 2 reaches seven members in two hops.
 const std::string small_fanout = "distribution:\n  fanout: 2\n";
 
 struct gathering_system : mesh_system
@@ -29,7 +28,8 @@
                 [&] { return call(from, "w", "/sales/w").status == 200; }));
     }
 
-    /** The only target of its service is the last host's. */
+    /** @return the service of each host; the last host's is the only target of
+     * its service. */
     static std::vector<std::string> services()
     {
         std::vector<std::string> all(nodes, "perceel");
@@ -37,13 +37,13 @@
         return all;
     }
 
-    /** @return how many messages of news the node was sent. */
+    /** @return the number of announcements that the node has received. */
     std::uint64_t messages(mesh_host& host)
     {
         const auto metrics = "\n" + metrics_of(host);
         const std::string name = "\ntillerhall_member_news_total ";
         const auto found = metrics.find(name);
-        // Counters are told from the first message on.
+        // The counter is exported from the first message on.
         return found == std::string::npos
                    ? 0
                    : std::stoull(metrics.substr(found + name.size()));
@@ -52,13 +52,13 @@
 
 } // namespace
 
-TEST_CASE("a start of all costs each node few messages of news")
+TEST_CASE("a simultaneous start sends each node few announcements")
 {
     on_worker(
         [](worker& on)
         {
             gathering_system system(on);
-            // All know the present; now all but the last one start again.
+            // The mesh has converged; now all but the last node restart.
             const auto last = nodes - 1;
             const auto before = system.messages(system.hosts()[last]);
             for (std::size_t i = 0; i < last; ++i)
@@ -78,19 +78,19 @@
                     }));
             sleep_for(on.io(), std::chrono::seconds(1));
             const auto after = system.messages(system.hosts()[last]);
-            // One broadcast each for a join and a target would be two a node.
+            // Without batching: two broadcasts per node, for join and target.
             CHECK(after > before);
             CHECK(after - before <= last);
         });
 }
 
-TEST_CASE("news gets through when who gathers it is gone")
+TEST_CASE("announcements are delivered when the batching member is gone")
 {
     on_worker(
         [](worker& on)
         {
             gathering_system system(on);
-            // Whoever gathers in the domain of the last host, one of these.
+            // One of these is the batching member of the last host's domain.
             for (std::size_t i = 0; i + 1 < nodes; ++i)
                 if (system.hosts()[i].domain == system.hosts().back().domain)
                     system.hosts()[i].node.kill();
