--- a/tests/integration/gathered_news.cpp
+++ b/tests/integration/batched_announcements.cpp
@@ -15,9 +15,9 @@
 // A broadcast of fanout 2 reaches seven members in two hops.
 const std::string small_fanout = "distribution:\n  fanout: 2\n";
 
-struct gathering_system : mesh_system
+struct batching_system : mesh_system
 {
-    explicit gathering_system(worker& on)
+    explicit batching_system(worker& on)
         : mesh_system(on, services(), small_fanout)
     {
         configure(1, {{"fields", "/fields/", "perceel"},
@@ -38,7 +38,7 @@
     }
 
     /** @return the number of announcements that the node has received. */
-    std::uint64_t messages(mesh_host& host)
+    std::uint64_t announcements(mesh_host& host)
     {
         const auto metrics = "\n" + metrics_of(host);
         const std::string name = "\ntillerhall_member_news_total ";
@@ -57,10 +57,10 @@
     on_worker(
         [](worker& on)
         {
-            gathering_system system(on);
+            batching_system system(on);
             // The mesh has converged; now all but the last node restart.
             const auto last = nodes - 1;
-            const auto before = system.messages(system.hosts()[last]);
+            const auto before = system.announcements(system.hosts()[last]);
             for (std::size_t i = 0; i < last; ++i)
                 system.hosts()[i].node.kill();
             for (std::size_t i = 0; i < last; ++i)
@@ -77,7 +77,7 @@
                                200;
                     }));
             sleep_for(on.io(), std::chrono::seconds(1));
-            const auto after = system.messages(system.hosts()[last]);
+            const auto after = system.announcements(system.hosts()[last]);
             // Without batching: two broadcasts per node, for join and target.
             CHECK(after > before);
             CHECK(after - before <= last);
@@ -89,7 +89,7 @@
     on_worker(
         [](worker& on)
         {
-            gathering_system system(on);
+            batching_system system(on);
             // One of these is the batching member of the last host's domain.
             for (std::size_t i = 0; i + 1 < nodes; ++i)
                 if (system.hosts()[i].domain == system.hosts().back().domain)
