--- a/tests/integration/leaving.cpp
+++ b/tests/integration/leaving.cpp
@@ -1,5 +1,5 @@
-/** @file Calls whose caller, node or target leaves, or that are long or slow.
- */
+/** @file Calls while a caller, node, target or the platform goes away, and
+ * calls with slow callers or large bodies. */
 #include "calls_support.hpp"
 
 #include <csignal>
@@ -8,7 +8,7 @@
 using namespace tillerhall;
 using namespace tillerhall::harness;
 
-TEST_CASE("a caller that goes away cancels the work at the target")
+TEST_CASE("a caller's disconnect cancels the run at the target")
 {
     on_worker(
         [](worker& on)
@@ -33,7 +33,7 @@
         });
 }
 
-TEST_CASE("a planned stop cuts no call in flight and exits 0")
+TEST_CASE("a planned stop finishes all calls in flight and exits 0")
 {
     on_worker(
         [](worker& on)
@@ -45,7 +45,7 @@
                 tasks.emplace_back(
                     [&, i]
                     {
-                        // Some go through the node that stops.
+                        // Every fourth uses the node that stops as its entry.
                         caller from(on.io(), system.nodes()[i % 4].caller);
                         outcomes[i] = from.call(
                             {"oogstbeurs", "stop-" + std::to_string(i), "POST",
@@ -65,7 +65,7 @@
             CHECK(code == 0);
             for (const auto& outcome : outcomes)
                 CHECK(outcome.is_good());
-            // Nothing new goes to it.
+            // The stopped node's target gets no new calls.
             caller from(on.io(), system.nodes()[3].caller);
             for (int i = 0; i < 20; ++i)
                 CHECK(from.call({"oogstbeurs", "later"}).target !=
@@ -73,7 +73,7 @@
         });
 }
 
-TEST_CASE("a target that drains gets no new work, its running calls finish")
+TEST_CASE("a draining target gets no new calls and finishes running ones")
 {
     on_worker(
         [](worker& on)
@@ -122,7 +122,7 @@
         });
 }
 
-TEST_CASE("slow callers hold no place at the target")
+TEST_CASE("calls whose request is incomplete take no slot at the target")
 {
     on_worker(
         [](worker& on)
@@ -151,7 +151,7 @@
         });
 }
 
-TEST_CASE("large bodies stream both ways in bounded memory")
+TEST_CASE("large request and response bodies stream in bounded memory")
 {
     on_worker(
         [](worker& on)
@@ -184,7 +184,7 @@
         });
 }
 
-TEST_CASE("several workers share one target's limits, its claims and its stop")
+TEST_CASE("several workers share a target's limits, claims and planned stop")
 {
     on_worker(
         [](worker& on)
