--- a/tests/support/mesh_system.hpp
+++ b/tests/support/mesh_system.hpp
@@ -1,4 +1,4 @@
-/** @file Nodes of the users' platform as processes; store and targets here. */
+/** @file A system of node processes with an in-process store and targets. */
 #pragma once
 
 #include "system.hpp"
@@ -20,19 +20,19 @@
 {
 
 /**
- * Keeps @p made to the end of the process: fibers that serve its connections
- * still wait on the worker when the test is over.
+ * Keeps @p made alive until the process exits: fibers that serve its
+ * connections outlive the test.
  */
 template <class T>
 T& keep_for_fibers(std::shared_ptr<T> made)
 {
-    // Never destroyed: ending it would end streams that fibers wait on.
+    // Never destroyed, since that would destroy streams that fibers wait on.
     static auto& kept = *new std::vector<std::shared_ptr<void>>;
     kept.push_back(made);
     return *made;
 }
 
-/** A route of a test's configuration. */
+/** A route of the configuration. */
 struct mesh_route
 {
     std::string name;
@@ -43,7 +43,7 @@
     int most_targets = 2;
 };
 
-/** @return the configuration's row; every route is of host shop.example. */
+/** @return the configuration's row; the host of all routes is shop.example. */
 inline std::string mesh_config(int version, const std::vector<mesh_route>& all)
 {
     boost::json::array routes;
@@ -84,19 +84,19 @@
     std::string domain;
     std::string settings_path;
     reporting_target* target = nullptr; ///< kept for its fibers
-    std::map<std::string, address> at;  ///< by the name of the listener
+    std::map<std::string, address> at;  ///< by listener name
 };
 
-/** An answer as a client sees it. */
+/** An answer received by a client. */
 struct seen_answer
 {
-    unsigned status = 0; ///< 0: the connection ended without a whole answer
+    unsigned status = 0; ///< 0: the connection closed before the end
     std::string body;
     bool proved = false;
     std::string retry_after;
 };
 
-/** Store, nodes and targets; everything ends with the object. */
+/** Store, nodes and targets; the destructor stops the nodes. */
 class mesh_system
 {
 public:
@@ -131,7 +131,7 @@
         m_store.put("op", "", "config", mesh_config(version, routes));
     }
 
-    /** @return what the node tells of itself; empty if it does not answer. */
+    /** @return the node's metrics; empty if it does not answer. */
     std::string metrics_of(mesh_host& host)
     {
         api_client client(m_worker.io(), host.at["operators"]);
@@ -140,7 +140,8 @@
         return answer ? answer->body : "";
     }
 
-    /** Starts every node and waits until each knows all of the targets. */
+    /** Starts all nodes, waits until they are ready and reports their targets
+     * ready. */
     void start()
     {
         for (auto& each : m_hosts)
@@ -151,7 +152,7 @@
             REQUIRE(each.target->report(each.at["operators"], "ready") == 200);
     }
 
-    /** Starts a node, at its old addresses if it ran before. */
+    /** Starts a node, on its previous addresses if it ran before. */
     void start_node(mesh_host& host)
     {
         write_settings(host);
@@ -187,7 +188,7 @@
         return answer && answer->status == 200;
     }
 
-    /** Sends one request through @p host. */
+    /** Sends one request with attempt id @p id to the node of @p host. */
     seen_answer call(mesh_host& host,
                      const std::string& id,
                      const std::string& path,
@@ -211,7 +212,7 @@
                     : ""};
     }
 
-    /** @return how often @p id ran at any target. */
+    /** @return the number of runs of @p id at all targets. */
     int runs_of(const std::string& id) const
     {
         int runs = 0;
@@ -262,7 +263,8 @@
     std::vector<mesh_host> m_hosts;
 };
 
-/** Sends raw bytes and @return all that comes until the end or @p limit. */
+/** Sends raw bytes. @return all bytes received until the connection closes or
+ * @p limit has passed. */
 inline std::string raw_exchange(worker& on,
                                 const address& to,
                                 const std::string& bytes,
