--- a/tests/support/system.hpp
+++ b/tests/support/system.hpp
@@ -1,4 +1,4 @@
-/** @file Runs a test body on a fiber, and short cuts for whole systems. */
+/** @file Helpers for integration tests that start a whole system. */
 #pragma once
 
 #include "harness/caller.hpp"
@@ -24,7 +24,7 @@
         });
 }
 
-/** A started system at version 1 with its default table. */
+/** A started cluster with its default table as version 1. */
 class started_cluster : public cluster
 {
 public:
@@ -43,7 +43,7 @@
     std::string m_csv;
 };
 
-/** @return @p csv with the first row's weight set. */
+/** @return @p csv with the weight of row @p row_index set. */
 inline std::string
 with_weight(const std::string& csv, int weight, std::size_t row_index = 0)
 {
@@ -54,6 +54,7 @@
     return write_csv(table);
 }
 
+/** @return the integer member @p name of @p body. */
 inline std::int64_t number(const boost::json::object& body, const char* name)
 {
     return body.at(name).to_number<std::int64_t>();
