--- a/include/tillerhall/node/end_register.hpp
+++ b/include/tillerhall/node/end_register.hpp
@@ -33,9 +33,9 @@
 {
 public:
     /** Called on any worker with what shall be announced to the other nodes. */
-    struct news
+    struct callbacks
     {
-        std::function<void(const target_end&)> ended;
+        std::function<void(const target_end&)> crashed;
         std::function<void(const good_run&)> ran_well;
     };
 
@@ -59,7 +59,7 @@
         const inbound_call& m_call;
     };
 
-    void set_news(news actions) { m_news = std::move(actions); }
+    void set_news(callbacks actions) { m_callbacks = std::move(actions); }
 
     /** Called when @p target refuses connections after a call to it was lost.
      */
@@ -75,7 +75,7 @@
     boost::intrusive::list<run> m_runs;
     recent_runs m_ran_well;
     time_point m_crashed_at{};
-    news m_news;
+    callbacks m_callbacks;
 };
 
 } // namespace tillerhall
--- a/src/node/end_register.cpp
+++ b/src/node/end_register.cpp
@@ -69,14 +69,14 @@
             calls.insert(fingerprint_of(request).text());
         m_ran_well.forget(request);
     }
-    return target_end{target, wall_clock_ms(), {calls.begin(), calls.end()}};
+    return target_end{target, wall_clock_ms(), {calls.begin(), calls.crash()}};
 }
 
 void end_register::target_ended(const std::string& target)
 {
-    const auto end = crash_of(target);
-    if (end && m_news.ended)
-        m_news.ended(*end);
+    const auto crash = crash_of(target);
+    if (crash && m_callbacks.crashed)
+        m_callbacks.crashed(*crash);
 }
 
 void end_register::ran_well(const inbound_call& call,
@@ -91,8 +91,8 @@
             return;
     }
     const auto name = fingerprint_of(request).text();
-    if (known.find(name) != nullptr && m_news.ran_well)
-        m_news.ran_well({name, wall_clock_ms()});
+    if (known.find(name) != nullptr && m_callbacks.ran_well)
+        m_callbacks.ran_well({name, wall_clock_ms()});
 }
 
 } // namespace tillerhall
