--- a/include/tillerhall/node/target_controller.hpp
+++ b/include/tillerhall/node/target_controller.hpp
@@ -21,7 +21,7 @@
 
     /** Announces a crash of the target, or a good run of a call that was listed
      * in a crash, to all members. */
-    void tell(const target_end& end);
+    void tell(const target_end& crash);
     void tell(const good_run& run);
 
 private:
--- a/src/node/target_controller.cpp
+++ b/src/node/target_controller.cpp
@@ -52,14 +52,14 @@
     }
 }
 
-void target_controller::tell(const target_end& end)
+void target_controller::tell(const target_end& crash)
 {
     m_mesh.board.decisions.note(
-        "target_ended", end.target_id,
+        "target_ended", crash.target_id,
         "it lost its calls and refuses connections",
-        {{"calls", boost::json::value_from(end.calls)}});
+        {{"calls", boost::json::value_from(crash.calls)}});
     auto changed = m_mesh.members.self();
-    add_target_ends(changed, {end});
+    add_target_ends(changed, {crash});
     m_membership.announce_self(changed);
 }
 
