--- a/include/tillerhall/membership/member.hpp
+++ b/include/tillerhall/membership/member.hpp
@@ -90,7 +90,7 @@
  * the newest 4.
  * @return true if any was new.
  */
-bool add_target_ends(member& to, const std::vector<target_end>& ends);
+bool add_target_ends(member& to, const std::vector<target_end>& crashes);
 
 /** Like `add_target_ends`, for @p runs; keeps the newest 16. */
 bool add_good_runs(member& to, const std::vector<good_run>& runs);
--- a/src/membership/member.cpp
+++ b/src/membership/member.cpp
@@ -185,10 +185,10 @@
            checked.state == member_state::leaving;
 }
 
-bool add_target_ends(member& to, const std::vector<target_end>& ends)
+bool add_target_ends(member& to, const std::vector<target_end>& crashes)
 {
     constexpr std::size_t most_kept = 4;
-    return add_newest(to.target_ends, ends, most_kept);
+    return add_newest(to.target_ends, crashes, most_kept);
 }
 
 bool add_good_runs(member& to, const std::vector<good_run>& runs)
@@ -201,9 +201,9 @@
 {
     const auto is_old = [&](const auto& each)
     { return each.at_ms < oldest_ms; };
-    const auto ends = std::erase_if(of.target_ends, is_old);
+    const auto crashes = std::erase_if(of.target_ends, is_old);
     const auto runs = std::erase_if(of.good_runs, is_old);
-    return ends + runs > 0;
+    return crashes + runs > 0;
 }
 
 json::value to_json(const member& sent)
