--- a/src/membership/member_list.cpp
+++ b/src/membership/member_list.cpp
@@ -65,10 +65,10 @@
     // of any other version of the record.
     auto raised = self();
     const bool accused = supersedes(offered, raised);
-    const bool left = add_left_targets(raised, offered.left_targets);
-    const bool ended = add_target_ends(raised, offered.target_ends);
-    const bool ran = add_good_runs(raised, offered.good_runs);
-    const bool learned = left || ended || ran;
+    const bool departure_added = add_left_targets(raised, offered.left_targets);
+    const bool crash_added = add_target_ends(raised, offered.target_ends);
+    const bool run_added = add_good_runs(raised, offered.good_runs);
+    const bool learned = departure_added || crash_added || run_added;
     if (!accused && !learned)
         return merge_result::unchanged;
     raised.incarnation = std::max(offered.incarnation, raised.incarnation) + 1;
