--- a/include/tillerhall/node/messages.hpp
+++ b/include/tillerhall/node/messages.hpp
@@ -91,11 +91,12 @@
     key_range range;
 };
 
-/** Request to join; `tell_others` asks the receiver to announce the joiner. */
+/** Request to join; `announce_to_others` asks the receiver to announce the
+ * joiner. */
 struct join_request
 {
     member joiner;
-    bool tell_others = false;
+    bool announce_to_others = false;
 };
 
 /** A table version for all members in a range. */
--- a/src/node/membership_joining.cpp
+++ b/src/node/membership_joining.cpp
@@ -135,7 +135,7 @@
     if (const auto seen = m_versions_seen.find(joiner);
         seen != m_versions_seen.end())
         answer.floor = seen->second;
-    if (request.tell_others)
+    if (request.announce_to_others)
         announce_join(joiner);
     return to_json(answer);
 }
--- a/src/node/messages.cpp
+++ b/src/node/messages.cpp
@@ -157,7 +157,7 @@
 json::object to_json(const join_request& sent)
 {
     json::object members{{"r", to_json(sent.joiner)}};
-    if (sent.tell_others)
+    if (sent.announce_to_others)
         members["n"] = 1;
     return members;
 }
