--- a/src/node/end_register.cpp
+++ b/src/node/end_register.cpp
@@ -69,7 +69,7 @@
             calls.insert(fingerprint_of(request).text());
         m_ran_well.forget(request);
     }
-    return target_end{target, wall_clock_ms(), {calls.begin(), calls.crash()}};
+    return target_end{target, wall_clock_ms(), {calls.begin(), calls.end()}};
 }
 
 void end_register::target_ended(const std::string& target)
