--- a/include/tillerhall/membership/member_list.hpp
+++ b/include/tillerhall/membership/member_list.hpp
@@ -66,7 +66,7 @@
     /**
      * Sets the time at which subsequent changes count as made.
      * @param oldest_evidence_ms Unix time; when a newer record replaces a known
-     * one, crashes and good runs of the known one are carried over from then on
+     * one, crashes and good runs of both from before this time are dropped
      */
     void set_now(time_point now, std::uint64_t oldest_evidence_ms = 0) noexcept
     {
