--- a/include/tillerhall/node/range_query.hpp
+++ b/include/tillerhall/node/range_query.hpp
@@ -32,7 +32,7 @@
                Missing missing)
 {
     constexpr milliseconds timeout(2000);
-    const auto ask_part = [&](const range_part& part)
+    const auto query_part = [&](const range_part& part)
     {
         auto params = query.params;
         put_range(params, part.range);
@@ -56,10 +56,10 @@
     const auto parts =
         split_range(range, mesh.members,
                     static_cast<std::size_t>(mesh.config.fanout), mesh.random);
-    std::vector<worker::task> asks;
+    std::vector<worker::task> tasks;
     for (const auto& part : parts)
-        asks.emplace_back([&ask_part, &part] { ask_part(part); });
-    run_parallel(std::move(asks));
+        tasks.emplace_back([&query_part, &part] { query_part(part); });
+    run_parallel(std::move(tasks));
 }
 
 } // namespace tillerhall
