--- a/src/node/source_controller.cpp
+++ b/src/node/source_controller.cpp
@@ -20,7 +20,8 @@
 // Up to this many versions behind, version records are read instead of the
 // table.
 constexpr std::uint64_t max_records_read = 4;
-// The host list changes rarely; it is read once in this many reads of the head.
+// The host list changes rarely, so only one in this many reads of the head also
+// reads it.
 constexpr unsigned reads_per_host_list = 30;
 
 } // namespace
