--- a/src/node/source_controller.cpp
+++ b/src/node/source_controller.cpp
@@ -135,7 +135,7 @@
         if (!each.leaving && each.node != m_mesh.members.self().rpc)
             nodes.push_back(each.node);
     std::ranges::shuffle(nodes, m_mesh.random);
-    m_membership.hint(nodes);
+    m_membership.contact_unknown(nodes);
     if (m_mesh.board.phase == node_phase::joining)
         m_membership.join_through(nodes);
 }
