--- a/include/tillerhall/membership/member_list.hpp
+++ b/include/tillerhall/membership/member_list.hpp
@@ -16,9 +16,8 @@
 /** A record with its sort keys. */
 struct keyed_member
 {
-    std::uint64_t key = 0; ///< see `key_of`
-    std::uint64_t ring =
-        0; ///< position on the heartbeat ring: hash of the address
+    std::uint64_t key = 0;  ///< see `key_of`
+    std::uint64_t ring = 0; ///< ring position: hash of the address
     member_ptr record;
 };
 
