--- a/include/tillerhall/node/messages.hpp
+++ b/include/tillerhall/node/messages.hpp
@@ -49,8 +49,8 @@
     /** Milliseconds since the last known read of the source by any node; -1 if
      * there is none. */
     std::int64_t source_age_ms = -1;
-    bool sender_unknown =
-        false; ///< in an answer: the receiver shall send its record
+    /** In an answer: the receiver shall send its record. */
+    bool sender_unknown = false;
     std::vector<member> rumors;
     std::vector<rollout_record> rollouts;
 };
@@ -128,8 +128,8 @@
     static constexpr std::size_t most_named = 16;
 
     std::map<std::string, domain_count> domains;
-    std::vector<std::string>
-        laggards; ///< control addresses, at most `most_named`
+    /** Control addresses of nodes behind, at most `most_named`. */
+    std::vector<std::string> laggards;
     std::uint64_t greatest_version = 0;
 
     /** Adds the counts and laggards of @p other. */
