--- a/include/tillerhall/node/membership_controller.hpp
+++ b/include/tillerhall/node/membership_controller.hpp
@@ -60,7 +60,7 @@
     /** Records a failed connection to @p node. */
     void connect_failed(const address& node);
 
-    /** Schedules heartbeats to those of @p hosts that are no known members. */
+    /** Schedules heartbeats to those of @p hosts that are not known members. */
     void contact_unknown(const std::vector<address>& hosts);
 
     source_freshness& freshness() noexcept { return m_freshness; }
@@ -105,8 +105,7 @@
     /** @return the member that batches announcements of this failure domain, or
      * nullopt if a broadcast takes at most two hops. */
     std::optional<address> batching_member() const;
-    /** Adds @p records to the batch, which is broadcast after `batch_delay`.
-     */
+    /** Adds @p records to the batch that is broadcast after `batch_delay`. */
     void add_to_batch(const std::vector<member>& records);
     duration batch_delay() const;
     void broadcast(const announce_message& message);
