--- a/include/tillerhall/node/end_register.hpp
+++ b/include/tillerhall/node/end_register.hpp
@@ -61,11 +61,10 @@
 
     void set_news(callbacks actions) { m_callbacks = std::move(actions); }
 
-    /** Called when @p target refuses connections after a call to it was lost.
-     */
+    /** Call when @p target refuses connections after a call to it was lost. */
     void target_ended(const std::string& target);
 
-    /** Called when @p call has succeeded. */
+    /** Call when @p call has succeeded. */
     void ran_well(const inbound_call& call, const suspect_calls& known);
 
 private:
