--- a/include/tillerhall/node/source_controller.hpp
+++ b/include/tillerhall/node/source_controller.hpp
@@ -23,8 +23,7 @@
                       table_store& store,
                       host_list& hosts);
 
-    /** Joins the mesh through the seeds or the host list, then starts polling.
-     */
+    /** Joins the mesh by the seeds or the host list, then starts polling. */
     void start();
 
 private:
