--- a/include/tillerhall/node/range_query.hpp
+++ b/include/tillerhall/node/range_query.hpp
@@ -1,4 +1,4 @@
-/** @file Asks every member in a range and adds up their answers. */
+/** @file Queries all members in a key range through a tree. */
 #pragma once
 
 #include "tillerhall/distribution/key_range.hpp"
@@ -10,8 +10,8 @@
 namespace tillerhall
 {
 
-/** What is asked; each member asked splits its range further. */
-struct range_question
+/** A query; each receiver splits its range further. */
+struct range_query
 {
     std::string method;
     traffic_kind kind = traffic_kind::watch;
@@ -19,28 +19,27 @@
 };
 
 /**
- * Asks one member of each part of @p range at the same time, the next one if
- * it does not answer. Each node asks at most `fanout` others, however many
- * there are.
- * @param take given each answer; throws on a malformed one
- * @param missing given the range of a part that nobody answered for
+ * Splits @p range into at most `fanout` parts and queries one member of each in
+ * parallel. If it doesn't answer, the next candidate is queried. Waits for all.
+ * @param take called with each answer; throws on a malformed one
+ * @param missing called with the range of each part without an answer
  */
 template <class Take, class Missing>
 void ask_range(mesh_state& mesh,
-               const range_question& question,
+               const range_query& query,
                const key_range& range,
                Take take,
                Missing missing)
 {
     constexpr milliseconds timeout(2000);
-    const auto ask_part = [&](const range_part& part)
+    const auto query_part = [&](const range_part& part)
     {
-        auto params = question.params;
+        auto params = query.params;
         put_range(params, part.range);
         for (const auto& each : part.candidates)
         {
             const auto answer = mesh.pool.call(
-                {each, question.kind, question.method, params, timeout});
+                {each, query.kind, query.method, params, timeout});
             try
             {
                 if (answer)
@@ -57,10 +56,10 @@
     const auto parts =
         split_range(range, mesh.members,
                     static_cast<std::size_t>(mesh.config.fanout), mesh.random);
-    std::vector<worker::task> asks;
+    std::vector<worker::task> tasks;
     for (const auto& part : parts)
-        asks.emplace_back([&ask_part, &part] { ask_part(part); });
-    run_parallel(std::move(asks));
+        tasks.emplace_back([&query_part, &part] { query_part(part); });
+    run_parallel(std::move(tasks));
 }
 
 } // namespace tillerhall
--- a/include/tillerhall/node/source_controller.hpp
+++ b/include/tillerhall/node/source_controller.hpp
@@ -1,4 +1,4 @@
-/** @file Reads the source where this node is to read it. */
+/** @file Polls the source of tables. */
 #pragma once
 
 #include "tillerhall/core/token_bucket.hpp"
@@ -10,7 +10,10 @@
 namespace tillerhall
 {
 
-/** The reading side of the source: the net under the pushes. */
+/**
+ * Joins the mesh, then reads the source at intervals if this node is a reader.
+ * Delivers versions whose pushes were lost. Used on the first worker only.
+ */
 class source_controller
 {
 public:
@@ -20,7 +23,7 @@
                       table_store& store,
                       host_list& hosts);
 
-    /** Joins the mesh, by seeds, then by the host list, then keeps reading. */
+    /** Joins the mesh by the seeds or the host list, then starts polling. */
     void start();
 
 private:
@@ -29,14 +32,14 @@
     bool is_caught_up() const;
     void read_loop();
     bool should_read();
-    bool somebody_read_lately();
+    bool is_recently_read();
     void read_source();
-    void read_newer(const table_head& head);
-    void read_whole(const table_head& head);
+    void read_new_versions(const table_head& head);
+    void read_table(const table_head& head);
     void read_hosts();
-    bool may_ask();
+    bool may_read();
     void note_outcome(const error* failed);
-    void take(const table_update& update);
+    void deliver(const table_update& update);
 
     mesh_state& m_mesh;
     distribution_controller& m_tables;
@@ -44,8 +47,8 @@
     table_store& m_store;
     host_list& m_hosts;
     circuit_breaker m_breaker;
-    token_bucket m_rate;
-    bool m_reading = false;
+    token_bucket m_rate_limiter;
+    bool m_is_reader = false;
     bool m_source_is_empty = false;
     unsigned m_reads_since_hosts = 0;
 };
--- a/src/membership/member.cpp
+++ b/src/membership/member.cpp
@@ -18,7 +18,7 @@
 constexpr std::array<std::string_view, 3> target_state_names{
     "serving", "draining", "down"};
 
-/** Positions in the compact form. */
+/** Array indexes in the compact form. */
 enum field : std::size_t
 {
     rpc_address,
@@ -32,11 +32,11 @@
     target_is,
     state,
     incarnation,
-    field_count, ///< of the first format; what follows may be absent
+    field_count, ///< of the first format; all later fields are optional
     target_id = field_count,
     left_targets,
     link_mbps,
-    target_ends, ///< absent with what follows where there are none
+    target_ends, ///< written only if it or a later field is not empty
     good_runs,
     release
 };
@@ -46,7 +46,7 @@
     return {base.ip, json::value_to<std::uint16_t>(port)};
 }
 
-/** Reads a state number; one out of range throws, as a bad message. */
+/** Reads an enumerator; throws std::out_of_range if @p count is exceeded. */
 template <class Enum>
 Enum enum_from(const json::value& value, std::size_t count)
 {
@@ -83,7 +83,7 @@
 }
 
 template <class Event>
-json::array list_of(const std::vector<Event>& events)
+json::array to_json_array(const std::vector<Event>& events)
 {
     json::array list;
     for (const auto& each : events)
@@ -91,18 +91,18 @@
     return list;
 }
 
-auto order_of(const target_end& event)
+auto sort_key(const target_end& event)
 {
     return std::tie(event.at_ms, event.target_id);
 }
 
-auto order_of(const good_run& event)
+auto sort_key(const good_run& event)
 {
     return std::tie(event.at_ms, event.call);
 }
 
-/** Adds what is missing; the same newest ones everywhere, in whatever order
- * they came. @return whether @p to changed. */
+/** Merges @p offered into @p to and keeps the newest. The result doesn't depend
+ * on the order of merges. @return true if @p to changed. */
 template <class Event>
 bool add_newest(std::vector<Event>& to,
                 const std::vector<Event>& offered,
@@ -113,7 +113,7 @@
                          [&](const Event& each)
                          { return std::ranges::find(to, each) == to.end(); });
     std::ranges::sort(all, {},
-                      [](const Event& each) { return order_of(each); });
+                      [](const Event& each) { return sort_key(each); });
     if (all.size() > most_kept)
         all.erase(all.begin(),
                   all.end() - static_cast<std::ptrdiff_t>(most_kept));
@@ -158,7 +158,7 @@
                              return std::ranges::find(to.left_targets, id) ==
                                     to.left_targets.end();
                          });
-    // What the record itself tells is newer.
+    // Entries of the record itself are newer.
     to.left_targets.insert(to.left_targets.begin(), missing.begin(),
                            missing.end());
     if (to.left_targets.size() > most_kept)
@@ -185,10 +185,10 @@
            checked.state == member_state::leaving;
 }
 
-bool add_target_ends(member& to, const std::vector<target_end>& ends)
+bool add_target_ends(member& to, const std::vector<target_end>& crashes)
 {
     constexpr std::size_t most_kept = 4;
-    return add_newest(to.target_ends, ends, most_kept);
+    return add_newest(to.target_ends, crashes, most_kept);
 }
 
 bool add_good_runs(member& to, const std::vector<good_run>& runs)
@@ -201,9 +201,9 @@
 {
     const auto is_old = [&](const auto& each)
     { return each.at_ms < oldest_ms; };
-    const auto ends = std::erase_if(of.target_ends, is_old);
+    const auto crashes = std::erase_if(of.target_ends, is_old);
     const auto runs = std::erase_if(of.good_runs, is_old);
-    return ends + runs > 0;
+    return crashes + runs > 0;
 }
 
 json::value to_json(const member& sent)
@@ -222,11 +222,12 @@
                       sent.target_id,
                       json::value_from(sent.left_targets),
                       sent.link_mbps};
-    const bool no_news = sent.target_ends.empty() && sent.good_runs.empty();
-    if (no_news && sent.release.empty())
+    const bool no_crash_data =
+        sent.target_ends.empty() && sent.good_runs.empty();
+    if (no_crash_data && sent.release.empty())
         return cells;
-    cells.push_back(list_of(sent.target_ends));
-    cells.push_back(list_of(sent.good_runs));
+    cells.push_back(to_json_array(sent.target_ends));
+    cells.push_back(to_json_array(sent.good_runs));
     if (!sent.release.empty())
         cells.push_back(json::string(sent.release));
     return cells;
@@ -285,8 +286,8 @@
 
 std::uint64_t key_of(const member& keyed)
 {
-    // Equal bits for two regions or domains only cost locality; 48 bits keep
-    // the keys of members apart.
+    // A collision of region or domain hashes only costs locality; the 48 bits
+    // of the address hash keep members' keys distinct.
     constexpr int name_bits = 8;
     const auto region = stable_hash(keyed.place.region) >> (64 - name_bits);
     const auto domain = stable_hash(keyed.place.domain) >> (64 - name_bits);
--- a/src/node/membership_telling.cpp
+++ b/src/node/membership_broadcast.cpp
@@ -1,4 +1,4 @@
-/** @file The part of the membership controller that tells all members. */
+/** @file Membership controller: broadcast of member records. */
 #include "tillerhall/distribution/reader_choice.hpp"
 #include "tillerhall/node/membership_controller.hpp"
 #include "tillerhall/node/range_send.hpp"
@@ -14,16 +14,16 @@
 namespace json = boost::json;
 
 constexpr milliseconds announce_timeout(700);
-// News of this long is told in one broadcast: a herd that returns costs each
-// node each record once, where rumors would cost it a dozen times.
-constexpr milliseconds least_gathering(100);
-// At a thousand members a quarter of a second: each node is then sent four
-// messages a second from each domain, however many start at once.
-constexpr std::chrono::microseconds gathering_a_member(250);
+// Announcements within this time share a broadcast. When many nodes start at
+// once each node receives each record once, instead of many times as a rumor.
+constexpr milliseconds min_batch_delay(100);
+// Delay per member: bounds the messages that each node receives a second from
+// one failure domain, however many nodes start at once.
+constexpr std::chrono::microseconds batch_delay_per_member(250);
 
 } // namespace
 
-std::optional<address> membership_controller::gatherer() const
+std::optional<address> membership_controller::batching_member() const
 {
     const auto fanout = static_cast<std::size_t>(m_mesh.config.fanout);
     const auto in_two_steps = 1 + fanout + fanout * fanout;
@@ -37,53 +37,54 @@
     return own.rpc;
 }
 
-void membership_controller::tell_all(const std::vector<member>& news)
+void membership_controller::announce_to_all(const std::vector<member>& records)
 {
-    const auto by = gatherer();
-    if (!by)
-        return broadcast({news, key_range{}});
-    if (*by == m_mesh.members.self().rpc)
-        return gather(news);
+    const auto batcher = batching_member();
+    if (!batcher)
+        return broadcast({records, key_range{}});
+    if (*batcher == m_mesh.members.self().rpc)
+        return add_to_batch(records);
     m_mesh.on.spawn(
-        [this, news, by = *by]
+        [this, records, batcher = *batcher]
         {
-            const auto params = to_json(announce_message{news, key_range{}});
-            if (!m_mesh.pool.call({by, traffic_kind::membership, method::gather,
-                                   params, announce_timeout}))
-                broadcast({news, key_range{}});
+            const auto params = to_json(announce_message{records, key_range{}});
+            if (!m_mesh.pool.call({batcher, traffic_kind::membership,
+                                   method::gather, params, announce_timeout}))
+                broadcast({records, key_range{}});
         });
 }
 
 json::object membership_controller::on_gather(const json::object& params)
 {
     const auto message = announce_from_json(params);
-    merge_all(message.records, "announcement", spreading::none);
-    gather(message.records);
+    merge_all(message.records, "announcement", propagation::none);
+    add_to_batch(message.records);
     return {};
 }
 
-duration membership_controller::gathering_time() const
+duration membership_controller::batch_delay() const
 {
     const auto members = static_cast<std::int64_t>(m_mesh.members.live_count());
-    return std::max<duration>(least_gathering, gathering_a_member * members);
+    return std::max<duration>(min_batch_delay,
+                              batch_delay_per_member * members);
 }
 
-void membership_controller::gather(const std::vector<member>& news)
+void membership_controller::add_to_batch(const std::vector<member>& records)
 {
-    const bool is_due = !m_gathered.empty();
-    for (const auto& each : news)
-        m_gathered.insert(each.rpc);
-    if (is_due)
-        return; // the broadcast for the first one will take it along
+    const bool is_scheduled = !m_batch.empty();
+    for (const auto& each : records)
+        m_batch.insert(each.rpc);
+    if (is_scheduled)
+        return; // part of the broadcast that is already scheduled
     m_mesh.on.spawn(
         [this]
         {
-            sleep_for(m_mesh.on.io(), gathering_time());
+            sleep_for(m_mesh.on.io(), batch_delay());
             announce_message message;
-            for (const auto& each : m_gathered)
+            for (const auto& each : m_batch)
                 if (const auto* record = m_mesh.members.find(each))
                     message.records.push_back(*record);
-            m_gathered.clear();
+            m_batch.clear();
             broadcast(message);
         });
 }
@@ -105,7 +106,7 @@
         return {{"e", name_of(error_code::invalid_argument)},
                 {"d", "not this node's range"}};
     m_mesh.board.metrics.get("tillerhall_member_news_total").add();
-    merge_all(message.records, "announcement", spreading::none);
+    merge_all(message.records, "announcement", propagation::none);
     broadcast(message);
     return {};
 }
--- a/src/node/messages.cpp
+++ b/src/node/messages.cpp
@@ -37,7 +37,7 @@
     return records;
 }
 
-/** Leaves out what is not there: most nodes know of no roll-out. */
+/** Writes no member if there are no roll-outs. */
 void put_rollouts(json::object& into, const std::vector<rollout_record>& sent)
 {
     if (sent.empty())
@@ -133,8 +133,8 @@
         members["q"] = 1;
     if (sent.sender_unknown)
         members["u"] = 1;
-    if (!sent.news.empty())
-        members["r"] = records_to_json(sent.news);
+    if (!sent.rumors.empty())
+        members["r"] = records_to_json(sent.rumors);
     put_rollouts(members, sent.rollouts);
     return members;
 }
@@ -149,7 +149,7 @@
     read.source_age_ms = value_or<std::int64_t>(members, "a", -1);
     read.asks_identity = members.contains("q");
     read.sender_unknown = members.contains("u");
-    read.news = records_from(members.if_contains("r"));
+    read.rumors = records_from(members.if_contains("r"));
     read.rollouts = rollouts_from(members);
     return read;
 }
@@ -157,7 +157,7 @@
 json::object to_json(const join_request& sent)
 {
     json::object members{{"r", to_json(sent.joiner)}};
-    if (sent.tell_others)
+    if (sent.announce_to_others)
         members["n"] = 1;
     return members;
 }
@@ -255,7 +255,7 @@
 json::object to_json(const pull_answer& sent)
 {
     json::object members{{"v", sent.version}};
-    if (sent.take_whole)
+    if (sent.needs_snapshot)
         members["w"] = 1;
     json::array updates;
     for (const auto& each : sent.updates)
@@ -268,7 +268,7 @@
 {
     pull_answer read;
     read.version = json::value_to<std::uint64_t>(members.at("v"));
-    read.take_whole = members.contains("w");
+    read.needs_snapshot = members.contains("w");
     for (const auto& each : members.at("u").as_array())
         read.updates.push_back(update_from(each.as_object()));
     return read;
--- a/src/node/target_controller.cpp
+++ b/src/node/target_controller.cpp
@@ -8,7 +8,7 @@
 {
 
 constexpr milliseconds check_timeout(1000);
-// One failed check may be chance; calls that fail count by themselves.
+// A single failed check may be transient.
 constexpr unsigned failures_to_down = 2;
 constexpr unsigned draining_status = 503;
 
@@ -52,14 +52,14 @@
     }
 }
 
-void target_controller::tell(const target_end& end)
+void target_controller::tell(const target_end& crash)
 {
     m_mesh.board.decisions.note(
-        "target_ended", end.target_id,
+        "target_ended", crash.target_id,
         "it lost its calls and refuses connections",
-        {{"calls", boost::json::value_from(end.calls)}});
+        {{"calls", boost::json::value_from(crash.calls)}});
     auto changed = m_mesh.members.self();
-    add_target_ends(changed, {end});
+    add_target_ends(changed, {crash});
     m_membership.announce_self(changed);
 }
 
@@ -76,13 +76,13 @@
     const auto response = m_client.call("GET", m_mesh.config.target_health_path,
                                         "", check_timeout);
     const bool healthy = response && response->status < 300;
-    m_failures_in_row = healthy ? 0 : m_failures_in_row + 1;
+    m_consecutive_failures = healthy ? 0 : m_consecutive_failures + 1;
     if (healthy)
         return target_state::serving;
-    // A target that says 503 itself asks for no more work, at once.
+    // A target that answers 503 asks for no more work.
     if (response && response->status == draining_status)
         return target_state::draining;
-    if (m_failures_in_row >= failures_to_down)
+    if (m_consecutive_failures >= failures_to_down)
         return target_state::down;
     return m_mesh.members.self().target_is;
 }
