--- a/apps/tiller/burn_report.cpp
+++ b/apps/tiller/burn_report.cpp
@@ -41,7 +41,7 @@
     return left < 0 ? "spent" : fixed(100 * left, 0) + "%";
 }
 
-std::string began_text(const json::value& row)
+std::string alarm_start_text(const json::value& row)
 {
     if (number(row, "began_minutes_ago") < 0)
         return "-";
@@ -70,7 +70,7 @@
                   << std::setw(9) << fixed(number(row, "calls"), 0)
                   << std::setw(7) << fixed(number(row, "bad"), 0)
                   << std::setw(26) << burn << std::setw(9) << budget_text(row)
-                  << std::setw(8) << text(row, "alarm") << began_text(row)
+                  << std::setw(8) << text(row, "alarm") << alarm_start_text(row)
                   << "\n";
     }
 }
@@ -90,7 +90,7 @@
 std::string burn_bars(const json::value& row)
 {
     constexpr double width = 220;
-    constexpr double most_burn = 20;
+    constexpr double max_burn_rate = 20;
     constexpr int bar_height = 14;
     std::ostringstream svg;
     svg << "<svg width='330' height='" << 4 * (bar_height + 4) << "'>";
@@ -98,7 +98,8 @@
     for (const auto* window : window_names)
     {
         const double rate = number(row.at("burn"), window);
-        const double length = std::min(rate, most_burn) / most_burn * width;
+        const double length =
+            std::min(rate, max_burn_rate) / max_burn_rate * width;
         const char* colour = rate > 6   ? "#c0392b"
                              : rate > 1 ? "#e67e22"
                                         : "#2e86c1";
@@ -110,8 +111,8 @@
         y += bar_height + 4;
     }
     // A rate of 1 uses up just the budget.
-    svg << "<line x1='" << 34 + width / most_burn << "' x2='"
-        << 34 + width / most_burn << "' y1='0' y2='" << y
+    svg << "<line x1='" << 34 + width / max_burn_rate << "' x2='"
+        << 34 + width / max_burn_rate << "' y1='0' y2='" << y
         << "' stroke='#555' stroke-dasharray='2,2'/></svg>";
     return svg.str();
 }
@@ -141,12 +142,12 @@
              << "<td>" << fixed(number(row, "p50_ms")) << " / "
              << fixed(number(row, "p99_ms")) << "<td>" << burn_bars(row)
              << "<td>" << text(row, "alarm") << "<td>"
-             << escaped(began_text(row)) << "</tr>";
+             << escaped(alarm_start_text(row)) << "</tr>";
     html << "</table></html>\n";
     return html.str();
 }
 
-json::array wanted_rows(const json::value& body, const std::string& service)
+json::array rows_of_service(const json::value& body, const std::string& service)
 {
     json::array rows;
     for (const auto& each : body.at("rows").as_array())
@@ -176,7 +177,7 @@
     const auto service = given.options.count("service") != 0
                              ? given.options["service"].as<std::string>()
                              : std::string();
-    const auto rows = wanted_rows(body, service);
+    const auto rows = rows_of_service(body, service);
     if (given.options.count("html") != 0)
     {
         const auto path = given.options["html"].as<std::string>();
--- a/apps/tiller/command.hpp
+++ b/apps/tiller/command.hpp
@@ -29,7 +29,7 @@
 /** What a subcommand is given. */
 struct invocation
 {
-    worker& on;
+    worker& main_worker;
     mesh_client& mesh;
     const cxxopts::ParseResult& options;
     std::vector<std::string> arguments; ///< positional
@@ -43,8 +43,8 @@
     std::string_view arguments; ///< as shown in its usage
     std::string_view summary;
     std::string_view example;
-    std::size_t least_arguments;
-    std::size_t most_arguments;
+    std::size_t min_arguments;
+    std::size_t max_arguments;
     int (*run)(invocation& given);
 };
 
--- a/apps/tiller/drafts.cpp
+++ b/apps/tiller/drafts.cpp
@@ -37,16 +37,16 @@
         std::cerr << each.message() << "\n";
 }
 
-/** Writes beside @p path first, so that a draft is never half written. */
+/** Replaces the file at @p path by renaming a complete new one over it. */
 result<void> write_file(const std::string& path, const std::string& text)
 {
-    const auto beside = path + ".new";
-    std::ofstream file(beside);
+    const auto temporary = path + ".new";
+    std::ofstream file(temporary);
     file << text;
     file.close();
     std::error_code failed;
     if (file)
-        std::filesystem::rename(beside, path, failed);
+        std::filesystem::rename(temporary, path, failed);
     if (!file || failed)
         return error(error_code::invalid_argument, "cannot write " + path,
                      "check that the folder is writable and not full");
@@ -54,7 +54,7 @@
 }
 
 /** Sets one "COLUMN=VALUE". */
-result<void> set_one(row& edited, const std::string& assignment)
+result<void> apply_assignment(row& edited, const std::string& assignment)
 {
     const auto equals = assignment.find('=');
     if (equals == std::string::npos)
@@ -86,7 +86,7 @@
                      "no row " + key.service + " at " + key.place,
                      "check the names, or give --add to make the row");
     for (std::size_t i = 3; i < given.arguments.size(); ++i)
-        if (auto set = set_one(edited, given.arguments[i]); !set)
+        if (auto set = apply_assignment(edited, given.arguments[i]); !set)
             return set;
     table.put(edited);
     return {};
@@ -99,12 +99,13 @@
 }
 
 /** @return the table of a version number or of a draft file. */
-result<config_table> read_side(invocation& given, const std::string& named)
+result<config_table> read_version_or_draft(invocation& given,
+                                           const std::string& argument)
 {
     std::uint64_t ignored = 0;
-    const auto text = is_version(named)
-                          ? given.mesh.read_csv(std::stoull(named), ignored)
-                          : read_file(named);
+    const auto text = is_version(argument)
+                          ? given.mesh.read_csv(std::stoull(argument), ignored)
+                          : read_file(argument);
     if (!text)
         return text.reason();
     auto outcome = read_csv(*text);
@@ -195,10 +196,10 @@
 
 int run_diff(invocation& given)
 {
-    const auto from = read_side(given, given.arguments[0]);
+    const auto from = read_version_or_draft(given, given.arguments[0]);
     if (!from)
         return fail(from.reason());
-    const auto to = read_side(given, given.arguments[1]);
+    const auto to = read_version_or_draft(given, given.arguments[1]);
     if (!to)
         return fail(to.reason());
     const auto lines = describe(diff(*from, *to));
--- a/apps/tiller/fleet.cpp
+++ b/apps/tiller/fleet.cpp
@@ -14,7 +14,7 @@
 
 namespace json = boost::json;
 
-constexpr std::size_t asked_at_once = 32;
+constexpr std::size_t max_parallel_requests = 32;
 
 std::string text(const json::value& of, const char* name)
 {
@@ -34,7 +34,7 @@
 }
 
 /** Adds each live member's own status under "status". */
-void ask_each(invocation& given, json::array& members)
+void fetch_statuses(invocation& given, json::array& members)
 {
     std::size_t next = 0;
     const auto ask = [&]
@@ -46,13 +46,13 @@
                 address::parse(each.at("operators").as_string().c_str());
             if (!node || each.at("state").as_string() == "dead")
                 continue;
-            const auto answer = given.mesh.ask_one(*node, "/v1/status");
+            const auto answer = given.mesh.ask_node(*node, "/v1/status");
             boost::system::error_code failed;
             if (answer && answer->status == 200)
                 each["status"] = json::parse(answer->body, failed);
         }
     };
-    run_parallel(std::vector<worker::task>(asked_at_once, ask));
+    run_parallel(std::vector<worker::task>(max_parallel_requests, ask));
 }
 
 void print_node(const json::value& node)
@@ -71,11 +71,11 @@
               << std::setw(9) << text(*status, "phase");
     for (const auto& each : status->at("traffic").as_object())
     {
-        const auto in = each.value().at("in").to_number<std::uint64_t>();
-        const auto out = each.value().at("out").to_number<std::uint64_t>();
-        if (in + out != 0)
-            std::cout << " " << std::string_view(each.key()) << " " << in << "/"
-                      << out;
+        const auto received = each.value().at("in").to_number<std::uint64_t>();
+        const auto sent = each.value().at("out").to_number<std::uint64_t>();
+        if (received + sent != 0)
+            std::cout << " " << std::string_view(each.key()) << " " << received
+                      << "/" << sent;
     }
     std::cout << "\n";
 }
@@ -87,7 +87,7 @@
     auto members = read_members(given);
     if (!members)
         return fail(members.reason());
-    ask_each(given, *members);
+    fetch_statuses(given, *members);
     if (given.as_json)
     {
         std::cout << json::serialize(*members) << "\n";
@@ -140,21 +140,21 @@
                 address::parse(each.at("operators").as_string().c_str());
             if (!node || each.at("state").as_string() == "dead")
                 continue;
-            const auto answer = given.mesh.ask_one(
+            const auto answer = given.mesh.ask_node(
                 *node, "/v1/call?id=" + percent_encode(given.arguments[0]));
             boost::system::error_code failed;
             const auto body =
                 answer ? json::parse(answer->body, failed) : json::value{};
             if (!answer || failed || answer->status != 200)
                 continue;
-            for (auto account : body.at("calls").as_array())
+            for (auto call : body.at("calls").as_array())
             {
-                account.as_object()["entry"] = each.at("node");
-                found.push_back(std::move(account));
+                call.as_object()["entry"] = each.at("node");
+                found.push_back(std::move(call));
             }
         }
     };
-    run_parallel(std::vector<worker::task>(asked_at_once, ask));
+    run_parallel(std::vector<worker::task>(max_parallel_requests, ask));
     if (given.as_json)
         std::cout << json::serialize(found) << "\n";
     for (const auto& each : found)
@@ -166,11 +166,11 @@
                   << " after " << each.at("took_ms").to_number<double>()
                   << " ms, table version "
                   << each.at("version").to_number<std::uint64_t>() << "\n";
-        for (const auto& tried : each.at("attempts").as_array())
-            std::cout << "    tried " << text(tried, "node") << " at "
-                      << text(tried, "place") << ": " << text(tried, "end")
-                      << " " << text(tried, "detail") << " ("
-                      << tried.at("took_ms").to_number<double>() << " ms)\n";
+        for (const auto& attempt : each.at("attempts").as_array())
+            std::cout << "    tried " << text(attempt, "node") << " at "
+                      << text(attempt, "place") << ": " << text(attempt, "end")
+                      << " " << text(attempt, "detail") << " ("
+                      << attempt.at("took_ms").to_number<double>() << " ms)\n";
     }
     if (!found.empty())
         return exit_ok;
--- a/apps/tiller/main.cpp
+++ b/apps/tiller/main.cpp
@@ -13,15 +13,15 @@
 namespace
 {
 
-constexpr std::size_t any_number = 1000;
+constexpr std::size_t unlimited_arguments = 1000;
 
 constexpr std::array command_table{
     command{"show", "[VERSION]", "print a version's table as a CSV draft",
             "tiller show > draft.csv", 0, 1, run_show},
     command{"edit", "DRAFT.csv SERVICE PLACE COLUMN=VALUE...",
             "change cells of a draft (--add makes the row, --remove drops it)",
-            "tiller edit draft.csv perceel polder-a weight=50", 3, any_number,
-            run_edit},
+            "tiller edit draft.csv perceel polder-a weight=50", 3,
+            unlimited_arguments, run_edit},
     command{"check", "DRAFT.csv", "list every problem of a draft",
             "tiller check draft.csv", 1, 1, run_check},
     command{"diff", "A B", "compare two versions or drafts cell by cell",
@@ -138,8 +138,8 @@
     std::vector<std::string> arguments;
     if (options.count("arguments") != 0)
         arguments = options["arguments"].as<std::vector<std::string>>();
-    if (arguments.size() < chosen.least_arguments ||
-        arguments.size() > chosen.most_arguments)
+    if (arguments.size() < chosen.min_arguments ||
+        arguments.size() > chosen.max_arguments)
     {
         std::cerr << "usage: tiller " << chosen.name << " " << chosen.arguments
                   << "\nexample: " << chosen.example << "\n";
@@ -152,10 +152,10 @@
     if (!token)
         return fail(token.reason());
     return run_main_fiber(
-        [&](worker& on)
+        [&](worker& main_worker)
         {
-            mesh_client mesh(on.io(), *nodes, *token);
-            invocation given{on, mesh, options, arguments,
+            mesh_client mesh(main_worker.io(), *nodes, *token);
+            invocation given{main_worker, mesh, options, arguments,
                              options.count("json") != 0};
             return chosen.run(given);
         });
--- a/apps/tiller/mesh_client.cpp
+++ b/apps/tiller/mesh_client.cpp
@@ -6,8 +6,8 @@
 {
 namespace
 {
-constexpr std::chrono::seconds call_timeout(20);
-constexpr std::chrono::seconds one_timeout(3);
+constexpr std::chrono::seconds ask_timeout(20);
+constexpr std::chrono::seconds ask_node_timeout(3);
 } // namespace
 
 mesh_client::mesh_client(boost::asio::io_context& io,
@@ -28,7 +28,7 @@
                "give --node IP:PORT[,IP:PORT...] or set TILLER_NODES");
     for (auto& node : m_nodes)
     {
-        auto answer = node->call(method, target, body, call_timeout, m_token);
+        auto answer = node->call(method, target, body, ask_timeout, m_token);
         if (answer)
             return answer;
         last = answer.reason();
@@ -36,10 +36,10 @@
     return last;
 }
 
-result<http_response> mesh_client::ask_one(const address& node,
-                                           const std::string& target)
+result<http_response> mesh_client::ask_node(const address& node,
+                                            const std::string& target)
 {
-    return api_client(m_io, node).call("GET", target, "", one_timeout);
+    return api_client(m_io, node).call("GET", target, "", ask_node_timeout);
 }
 
 result<std::string> mesh_client::read_csv(std::uint64_t version,
--- a/apps/tiller/mesh_client.hpp
+++ b/apps/tiller/mesh_client.hpp
@@ -27,8 +27,8 @@
                               const std::string& body = {});
 
     /** Asks one node only. */
-    result<http_response> ask_one(const address& node,
-                                  const std::string& target);
+    result<http_response> ask_node(const address& node,
+                                   const std::string& target);
 
     /** @return the table at @p version (0 is the current one) as CSV. */
     result<std::string> read_csv(std::uint64_t version, std::uint64_t& read);
--- a/apps/tiller/rollouts.cpp
+++ b/apps/tiller/rollouts.cpp
@@ -28,20 +28,21 @@
            " s";
 }
 
-void print_rollout(const json::value& told)
+void print_rollout(const json::value& rollout)
 {
-    std::cout << text(told, "service") << ": " << text(told, "before") << " -> "
-              << text(told, "release") << "  " << text(told, "state");
-    if (text(told, "state") == "running")
-        std::cout << ", step " << text(told, "stage") << ", "
-                  << seconds(told, "age_ms") << " of "
-                  << seconds(told, "time_ms");
+    std::cout << text(rollout, "service") << ": " << text(rollout, "before")
+              << " -> " << text(rollout, "release") << "  "
+              << text(rollout, "state");
+    if (text(rollout, "state") == "running")
+        std::cout << ", step " << text(rollout, "stage") << ", "
+                  << seconds(rollout, "age_ms") << " of "
+                  << seconds(rollout, "time_ms");
     std::cout << "\n";
-    if (!text(told, "reason").empty())
-        std::cout << "    " << text(told, "reason") << "\n";
-    for (const auto& each : told.at("suspects").as_array())
+    if (!text(rollout, "reason").empty())
+        std::cout << "    " << text(rollout, "reason") << "\n";
+    for (const auto& each : rollout.at("suspects").as_array())
         std::cout << "    suspect: " << each.as_string().c_str() << "\n";
-    for (const auto& each : told.at("evidence").as_array())
+    for (const auto& each : rollout.at("evidence").as_array())
         std::cout << "    " << text(each, "release") << ", rank "
                   << each.at("rank").to_number<int>() << " within "
                   << each.at("objective_ms").to_number<int>()
@@ -88,21 +89,21 @@
 
 int run_rollout(invocation& given)
 {
-    const auto& words = given.arguments;
-    if (words.empty() || (words[0] == "list" && words.size() == 1))
+    const auto& arguments = given.arguments;
+    if (arguments.empty() || (arguments[0] == "list" && arguments.size() == 1))
         return list(given);
-    if (words[0] == "start" && words.size() == 3)
+    if (arguments[0] == "start" && arguments.size() == 3)
         return change(given, "POST", path,
                       json::serialize(json::object{
-                          {"service", words[1]},
-                          {"release", words[2]},
+                          {"service", arguments[1]},
+                          {"release", arguments[2]},
                           {"time_s", given.options["timeout"].as<double>()}}));
-    if (words[0] == "abort" && words.size() == 2)
+    if (arguments[0] == "abort" && arguments.size() == 2)
         return change(
             given, "DELETE",
-            std::string(path) + "?service=" + percent_encode(words[1]), "");
+            std::string(path) + "?service=" + percent_encode(arguments[1]), "");
     return fail(error(error_code::invalid_argument,
-                      "not understood: rollout " + words[0],
+                      "not understood: rollout " + arguments[0],
                       "use list, start SERVICE RELEASE [--timeout SECONDS], "
                       "or abort SERVICE"));
 }
--- a/apps/tiller/versions.cpp
+++ b/apps/tiller/versions.cpp
@@ -19,9 +19,9 @@
 
 namespace json = boost::json;
 
-constexpr milliseconds watch_every(250);
-constexpr int most_accept_tries = 5;
-constexpr milliseconds accept_retry(500);
+constexpr milliseconds watch_interval(250);
+constexpr int max_accept_attempts = 5;
+constexpr milliseconds accept_retry_delay(500);
 
 std::string random_id()
 {
@@ -45,14 +45,14 @@
     constexpr unsigned outcome_unknown_status = 504;
     const auto text = json::serialize(body);
     auto answer = given.mesh.ask("POST", "/v1/accept", text);
-    for (int i = 1; i < most_accept_tries; ++i)
+    for (int i = 1; i < max_accept_attempts; ++i)
     {
         const bool unknown =
             answer ? answer->status == outcome_unknown_status
                    : answer.reason().code() != error_code::connection_failed;
         if (!unknown)
             break;
-        sleep_for(given.on.io(), accept_retry);
+        sleep_for(given.main_worker.io(), accept_retry_delay);
         answer = given.mesh.ask("POST", "/v1/accept", text);
     }
     return answer;
@@ -116,7 +116,7 @@
     return line.str();
 }
 
-/** Shows progress: one live line on a terminal, else a line a change. */
+/** Shows progress: updates one line on a terminal, else prints each change. */
 class progress_printer
 {
 public:
@@ -171,14 +171,14 @@
 
 int run_restore(invocation& given)
 {
-    const auto& named = given.arguments[0];
-    if (named.empty() || !std::ranges::all_of(named, [](unsigned char c)
-                                              { return std::isdigit(c); }))
+    const auto& argument = given.arguments[0];
+    if (argument.empty() || !std::ranges::all_of(argument, [](unsigned char c)
+                                                 { return std::isdigit(c); }))
         return fail(error(error_code::bad_syntax,
-                          "\"" + named + "\" is not a version",
+                          "\"" + argument + "\" is not a version",
                           "give a number from `tiller history`"));
     std::uint64_t version = 0;
-    const auto old = given.mesh.read_csv(std::stoull(named), version);
+    const auto old = given.mesh.read_csv(std::stoull(argument), version);
     if (!old)
         return fail(old.reason());
     // The head is read just before: an accept in between is a conflict.
@@ -192,7 +192,7 @@
 {
     const std::chrono::duration<double> limit(
         given.options["timeout"].as<double>());
-    const auto last =
+    const auto deadline =
         steady_clock::now() + std::chrono::duration_cast<duration>(limit);
     progress_printer progress;
     while (true)
@@ -211,7 +211,7 @@
             progress.show(progress_line(body));
         if (body.at("in_force").as_bool())
             break;
-        if (steady_clock::now() >= last)
+        if (steady_clock::now() >= deadline)
         {
             progress.end();
             std::cerr << "version " << version
@@ -219,7 +219,7 @@
                          "the nodes named as lagging; see docs/OPERATORS.md\n";
             return exit_not_in_force;
         }
-        sleep_for(given.on.io(), watch_every);
+        sleep_for(given.main_worker.io(), watch_interval);
     }
     progress.end();
     if (!given.as_json)
@@ -232,13 +232,13 @@
     std::uint64_t version = 0;
     if (!given.arguments.empty())
     {
-        const auto& named = given.arguments[0];
-        if (!std::ranges::all_of(named, [](unsigned char c)
+        const auto& argument = given.arguments[0];
+        if (!std::ranges::all_of(argument, [](unsigned char c)
                                  { return std::isdigit(c); }))
             return fail(error(error_code::bad_syntax,
-                              "\"" + named + "\" is not a version",
+                              "\"" + argument + "\" is not a version",
                               "give a number from `tiller history`"));
-        version = std::stoull(named);
+        version = std::stoull(argument);
     }
     return watch_version(given, version);
 }
--- a/apps/tillerd.cpp
+++ b/apps/tillerd.cpp
@@ -92,15 +92,15 @@
         std::cerr << token.reason().message() << "\n";
         return exit_bad_settings;
     }
-    node runs(std::move(outcome.read), *token);
-    if (const auto opened = runs.open(); !opened)
+    node local_node(std::move(outcome.read), *token);
+    if (const auto opened = local_node.open(); !opened)
     {
         std::cerr << opened.reason().message() << "\n";
         return exit_cannot_start;
     }
-    print_addresses(runs.config());
+    print_addresses(local_node.config());
     // Fibers that still wait are abandoned: nothing of a node is kept.
-    std::_Exit(runs.run());
+    std::_Exit(local_node.run());
 }
 
 } // namespace
--- a/tests/integration/command_line.cpp
+++ b/tests/integration/command_line.cpp
@@ -14,10 +14,10 @@
 {
 
 /** A small system and a way to run `tiller` against it. */
-class operator_desk
+class tiller_session
 {
 public:
-    explicit operator_desk(worker& on)
+    explicit tiller_session(worker& on)
         : system(on, options())
     {
     }
@@ -58,37 +58,37 @@
     on_worker(
         [](worker& on)
         {
-            operator_desk desk(on);
-            const auto shown = desk.tiller({"show"});
+            tiller_session session(on);
+            const auto shown = session.tiller({"show"});
             REQUIRE(shown.code == 0);
             CHECK_THAT(shown.out, Catch::StartsWith("#tillerhall base=1\n"));
-            const auto draft = desk.write("draft.csv", shown.out);
-            const auto edited = desk.tiller(
+            const auto draft = session.write("draft.csv", shown.out);
+            const auto edited = session.tiller(
                 {"edit", draft, "perceel", "polder-a", "weight=7", "queue=3"});
             CHECK(edited.code == 0);
             CHECK_THAT(edited.out,
                        Catch::Contains("perceel polder-a weight: 100 -> 7"));
-            CHECK(desk.tiller({"check", draft}).code == 0);
-            const auto diffed = desk.tiller({"diff", "1", draft});
+            CHECK(session.tiller({"check", draft}).code == 0);
+            const auto diffed = session.tiller({"diff", "1", draft});
             CHECK_THAT(diffed.out, Catch::Contains("queue: 64 -> 3"));
-            const auto accepted = desk.tiller({"accept", draft, "--watch"});
+            const auto accepted = session.tiller({"accept", draft, "--watch"});
             CHECK(accepted.code == 0);
             CHECK_THAT(accepted.out,
                        Catch::Contains("accepted as version 2") &&
                            Catch::Contains("in force everywhere"));
-            CHECK(desk.tiller({"watch", "2", "--json"}).code == 0);
-            const auto history = desk.tiller({"history"});
+            CHECK(session.tiller({"watch", "2", "--json"}).code == 0);
+            const auto history = session.tiller({"history"});
             CHECK_THAT(history.out, Catch::Contains("version 2 by") &&
                                         Catch::Contains("weight: 100 -> 7"));
-            const auto restored = desk.tiller({"restore", "1", "--watch"});
+            const auto restored = session.tiller({"restore", "1", "--watch"});
             CHECK(restored.code == 0);
             CHECK_THAT(restored.out, Catch::Contains("accepted as version 3"));
-            CHECK(desk.tiller({"diff", "1", "3"}).out.empty());
-            CHECK_THAT(desk.tiller({"nodes"}).out, Catch::Contains("ready"));
-            CHECK_THAT(desk.tiller({"targets"}).out,
+            CHECK(session.tiller({"diff", "1", "3"}).out.empty());
+            CHECK_THAT(session.tiller({"nodes"}).out, Catch::Contains("ready"));
+            CHECK_THAT(session.tiller({"targets"}).out,
                        Catch::Contains("perceel polder-a"));
-            CHECK_THAT(desk.tiller({"why"}).out, Catch::Contains("applied"));
-            CHECK(desk.tiller({"nodes", "--json"}).code == 0);
+            CHECK_THAT(session.tiller({"why"}).out, Catch::Contains("applied"));
+            CHECK(session.tiller({"nodes", "--json"}).code == 0);
         });
 }
 
@@ -97,17 +97,17 @@
     on_worker(
         [](worker& on)
         {
-            operator_desk desk(on);
-            const auto draft = desk.write(
+            tiller_session session(on);
+            const auto draft = session.write(
                 "d.csv",
                 write_draft(
-                    read_csv(with_weight(desk.system.csv(), 3)).parsed.table,
+                    read_csv(with_weight(session.system.csv(), 3)).parsed.table,
                     1));
             const auto first =
-                desk.tiller({"accept", draft, "--accept-id", "mine"});
+                session.tiller({"accept", draft, "--accept-id", "mine"});
             CHECK_THAT(first.out, Catch::Contains("accepted as version 2"));
             const auto second =
-                desk.tiller({"accept", draft, "--accept-id", "mine"});
+                session.tiller({"accept", draft, "--accept-id", "mine"});
             CHECK(second.code == 0);
             CHECK_THAT(second.out,
                        Catch::Contains("already accepted as version 2"));
@@ -119,24 +119,25 @@
     on_worker(
         [](worker& on)
         {
-            operator_desk desk(on);
-            const auto shown = desk.tiller({"show"}).out;
-            const auto mine = desk.write("mine.csv", shown);
-            const auto theirs = desk.write("theirs.csv", shown);
-            desk.tiller({"edit", mine, "perceel", "polder-a", "weight=1"});
-            desk.tiller({"edit", theirs, "oogstbeurs", "polder-a", "weight=2"});
-            CHECK(desk.tiller({"accept", theirs}).code == 0);
-            const auto refused = desk.tiller({"accept", mine});
+            tiller_session session(on);
+            const auto shown = session.tiller({"show"}).out;
+            const auto mine = session.write("mine.csv", shown);
+            const auto theirs = session.write("theirs.csv", shown);
+            session.tiller({"edit", mine, "perceel", "polder-a", "weight=1"});
+            session.tiller(
+                {"edit", theirs, "oogstbeurs", "polder-a", "weight=2"});
+            CHECK(session.tiller({"accept", theirs}).code == 0);
+            const auto refused = session.tiller({"accept", mine});
             CHECK(refused.code == 1);
             CHECK_THAT(refused.err, Catch::Contains("conflict") &&
                                         Catch::Contains("--rebase"));
-            CHECK(desk.tiller({"accept", mine, "--rebase"}).code == 0);
-            CHECK(desk.tiller({"diff", "1", "3"}).out ==
+            CHECK(session.tiller({"accept", mine, "--rebase"}).code == 0);
+            CHECK(session.tiller({"diff", "1", "3"}).out ==
                   "oogstbeurs polder-a weight: 100 -> 2\n"
                   "perceel polder-a weight: 100 -> 1\n");
-            const auto same = desk.write("same.csv", shown);
-            desk.tiller({"edit", same, "perceel", "polder-a", "weight=9"});
-            const auto clash = desk.tiller({"accept", same, "--rebase"});
+            const auto same = session.write("same.csv", shown);
+            session.tiller({"edit", same, "perceel", "polder-a", "weight=9"});
+            const auto clash = session.tiller({"accept", same, "--rebase"});
             CHECK(clash.code == 1);
             CHECK_THAT(clash.err,
                        Catch::Contains("base 100 | mine 9 | theirs 1"));
@@ -148,8 +149,9 @@
     on_worker(
         [](worker& on)
         {
-            operator_desk desk(on);
-            const auto draft = desk.write("d.csv", desk.tiller({"show"}).out);
+            tiller_session session(on);
+            const auto draft =
+                session.write("d.csv", session.tiller({"show"}).out);
             struct bad_case
             {
                 std::vector<std::string> arguments;
@@ -177,27 +179,27 @@
                 {{"edit", draft, "perceel", "polder-a", "weight"},
                  2,
                  "is not COLUMN=VALUE"},
-                {{"accept", desk.write("n.csv", desk.system.csv())},
+                {{"accept", session.write("n.csv", session.system.csv())},
                  2,
                  "names no base version"},
                 {{"restore", "x"}, 2, "is not a version"},
-                {{"accept", desk.write("u.csv", "#tillerhall base=1\n"
-                                                "service,place\nx,y\n")},
+                {{"accept", session.write("u.csv", "#tillerhall base=1\n"
+                                                   "service,place\nx,y\n")},
                  1,
                  "service \"x\" is not known to the mesh"},
                 {{"watch", "99", "--timeout", "0.3"}, 5, "is not in force"},
             };
-            const auto before = desk.tiller({"show"}).out;
+            const auto before = session.tiller({"show"}).out;
             for (const auto& each : cases)
             {
-                const auto output = desk.tiller(each.arguments);
+                const auto output = session.tiller(each.arguments);
                 INFO(each.arguments[0] << ": " << output.err);
                 CHECK(output.code == each.code);
                 CHECK_THAT(output.err, Catch::Contains(each.message));
             }
-            CHECK(desk.tiller({"show"}).out == before);
-            CHECK(desk.tiller({"show", "--node", "127.0.0.1:1"}).code == 3);
-            const auto denied = desk.tiller({"restore", "1"}, false);
+            CHECK(session.tiller({"show"}).out == before);
+            CHECK(session.tiller({"show", "--node", "127.0.0.1:1"}).code == 3);
+            const auto denied = session.tiller({"restore", "1"}, false);
             CHECK(denied.code == 1);
             CHECK_THAT(denied.err, Catch::Contains("TILLER_TOKEN"));
         });
@@ -237,36 +239,36 @@
     on_worker(
         [](worker& on)
         {
-            operator_desk desk(on);
-            caller from(on.io(), desk.system.nodes()[0].caller);
+            tiller_session session(on);
+            caller from(on.io(), session.system.nodes()[0].caller);
             for (int i = 0; i < 20; ++i)
                 CHECK(from.call({"perceel", "well-" + std::to_string(i)})
                           .is_good());
-            desk.system.set_target(0, {{"fail", 1}});
+            session.system.set_target(0, {{"fail", 1}});
             for (int i = 0; i < 20; ++i)
                 from.call({"perceel", "bad-" + std::to_string(i)});
-            const auto text = desk.tiller({"report", "burn"});
+            const auto text = session.tiller({"report", "burn"});
             CHECK(text.code == 0);
             CHECK_THAT(text.out, Catch::Contains("perceel") &&
                                      Catch::Contains("page") &&
                                      Catch::Contains("status 500") &&
                                      Catch::Contains("version 1"));
-            const auto other = desk.tiller(
+            const auto other = session.tiller(
                 {"report", "burn", "--service", "schuur", "--json"});
             CHECK(other.out == "[]\n");
-            const auto path = desk.system.folder() + "/burn.html";
-            CHECK(desk.tiller({"report", "burn", "--html", path}).code == 0);
+            const auto path = session.system.folder() + "/burn.html";
+            CHECK(session.tiller({"report", "burn", "--html", path}).code == 0);
             std::ifstream file(path);
             const std::string page((std::istreambuf_iterator<char>(file)), {});
             CHECK_THAT(page, Catch::Contains("<svg") &&
                                  Catch::Contains("perceel") &&
                                  !Catch::Contains("http://"));
-            const auto account = desk.tiller({"explain", "bad-3"});
+            const auto account = session.tiller({"explain", "bad-3"});
             CHECK(account.code == 0);
             CHECK_THAT(account.out,
                        Catch::Contains("tried") && Catch::Contains("polder-a"));
-            CHECK(desk.tiller({"explain", "never"}).code == 1);
-            CHECK(desk.tiller({"report", "weather"}).code == 2);
+            CHECK(session.tiller({"explain", "never"}).code == 1);
+            CHECK(session.tiller({"report", "weather"}).code == 2);
         });
 }
 
--- a/tests/platform/decoders.cpp
+++ b/tests/platform/decoders.cpp
@@ -232,7 +232,7 @@
 
 TEST_CASE("orders of roll-outs are read, others refused or passed over")
 {
-    const auto rows = platform::rollout_rows();
+    const auto rows = platform::make_rollout_source();
     const auto row = [](const std::string& key, const std::string& value)
     {
         stored_row made;
@@ -267,7 +267,7 @@
 
 TEST_CASE("a roll-out's state comes back from its row, also another writer's")
 {
-    const auto rows = platform::rollout_rows();
+    const auto rows = platform::make_rollout_source();
     CHECK(rows.verdict_row("s1") == row_name{"status", "", "rollout/s1"});
     stored_verdict verdict;
     verdict.release = "v2";
