--- a/tests/platform/decoders.cpp
+++ b/tests/platform/decoders.cpp
@@ -269,18 +269,18 @@
 {
     const auto rows = platform::make_rollout_source();
     CHECK(rows.verdict_row("s1") == row_name{"status", "", "rollout/s1"});
-    stored_verdict verdict;
-    verdict.release = "v2";
-    verdict.state = rollout_state::rolled_back;
-    verdict.begun_ms = 1'700'000'000'000;
+    stored_verdict stored;
+    stored.release = "v2";
+    stored.state = rollout_state::rolled_back;
+    stored.begun_ms = 1'700'000'000'000;
     stored_row row;
-    row.value = rows.encode_verdict("s1", verdict);
+    row.value = rows.encode_verdict("s1", stored);
     row.revision = 4;
     const auto read = rows.decode_verdict(row);
     REQUIRE(read);
     CHECK(read->release == "v2");
     CHECK(read->state == rollout_state::rolled_back);
-    CHECK(read->begun_ms == verdict.begun_ms);
+    CHECK(read->begun_ms == stored.begun_ms);
     CHECK(read->revision == 4);
     row.value = R"({"targetVersion":"v2","state":"completed"})";
     REQUIRE(rows.decode_verdict(row));
