--- a/apps/tillerd.cpp
+++ b/apps/tillerd.cpp
@@ -1,4 +1,4 @@
-/** @file The node daemon: parses its command line and runs a node. */
+/** @file The node daemon. */
 #include "tillerhall/node/node.hpp"
 #include "tillerhall/node/operator_token.hpp"
 #include "tillerhall/observe/log.hpp"
@@ -29,7 +29,7 @@
               << std::endl;
 }
 
-/** @return how the value of a setting is shown in docs/SETTINGS.md. */
+/** Formats a default for docs/SETTINGS.md; addresses have none. */
 struct shown_default
 {
     const settings& from;
@@ -55,7 +55,7 @@
     }
 };
 
-/** Prints the table of docs/SETTINGS.md. */
+/** Prints all settings as the Markdown table of docs/SETTINGS.md. */
 void list_settings()
 {
     const settings defaults;
@@ -99,7 +99,7 @@
         return exit_cannot_start;
     }
     print_addresses(local_node.config());
-    // Fibers that still wait are abandoned: nothing of a node is kept.
+    // Skips destructors: fibers may still wait, and nothing is left to save.
     std::_Exit(local_node.run());
 }
 
