--- a/apps/tiller/command.hpp
+++ b/apps/tiller/command.hpp
@@ -1,4 +1,4 @@
-/** @file What the subcommands of `tiller` share. */
+/** @file Declarations shared by the subcommands of `tiller`. */
 #pragma once
 
 #include "mesh_client.hpp"
@@ -15,18 +15,18 @@
 namespace tillerhall::cli
 {
 
-/** Exit codes; docs/OPERATORS.md lists them. */
+/** Exit codes, as docs/OPERATORS.md lists them. */
 enum exit_code : int
 {
     exit_ok = 0,
-    exit_refused = 1,     ///< the mesh or the checks refused
+    exit_refused = 1,     ///< the mesh or a check refused the request
     exit_usage = 2,       ///< the command line or a file is wrong
     exit_unreachable = 3, ///< no node answered
     exit_unknown = 4,     ///< the outcome of a change is not known
-    exit_not_in_force = 5 ///< a watch ended before the version was in force
+    exit_not_in_force = 5 ///< the version was not in force in time
 };
 
-/** What a subcommand is given. */
+/** The context and arguments of one run of a subcommand. */
 struct invocation
 {
     worker& main_worker;
@@ -51,10 +51,10 @@
 /** @return all subcommands, in the order of the help. */
 std::span<const command> commands();
 
-/** Prints @p failed. @return the exit code that fits it. */
+/** Prints @p failed to standard error. @return its exit code. */
 int fail(const error& failed);
 
-/** Prints an answer that is no success. @return the exit code that fits. */
+/** Prints the problem that @p answer reports. @return its exit code. */
 int fail(const http_response& answer);
 
 int run_show(invocation& given);
@@ -73,7 +73,8 @@
 int run_rollout(invocation& given);
 int run_completion(invocation& given);
 
-/** Watches @p version until it is in force or the time is over. */
+/** Prints the progress of @p version until it is in force everywhere or
+ * --timeout has passed. @return the exit code. */
 int watch_version(invocation& given, std::uint64_t version);
 
 } // namespace tillerhall::cli
