--- a/apps/tiller/mesh_client.hpp
+++ b/apps/tiller/mesh_client.hpp
@@ -1,4 +1,4 @@
-/** @file Asks the nodes given, the next one when one is down. */
+/** @file Client of the operator API with failover between nodes. */
 #pragma once
 
 #include "tillerhall/http/api_client.hpp"
@@ -10,7 +10,7 @@
 namespace tillerhall::cli
 {
 
-/** The operator API of several nodes. */
+/** Calls the operator API of the configured nodes. */
 class mesh_client
 {
 public:
@@ -19,18 +19,20 @@
                 std::string token);
 
     /**
-     * Sends a request that may be repeated to the first node that answers.
-     * @return its answer of any status, or why no node answered.
+     * Sends a request to one node after another until one answers, so it must
+     * be idempotent.
+     * @return the answer, whatever its status, or the last node's error.
      */
     result<http_response> ask(const std::string& method,
                               const std::string& target,
                               const std::string& body = {});
 
-    /** Asks one node only. */
+    /** Sends a GET without token to @p node. */
     result<http_response> ask_node(const address& node,
                                    const std::string& target);
 
-    /** @return the table at @p version (0 is the current one) as CSV. */
+    /** @return the table of @p version (0: the newest) as CSV; @p read is set
+     * to its version. */
     result<std::string> read_csv(std::uint64_t version, std::uint64_t& read);
 
 private:
