--- a/apps/tiller/fleet.cpp
+++ b/apps/tiller/fleet.cpp
@@ -1,4 +1,4 @@
-/** @file Subcommands that look at nodes and targets. */
+/** @file Subcommands that show nodes, targets, decisions and calls. */
 #include "command.hpp"
 
 #include <algorithm>
@@ -16,9 +16,9 @@
 
 constexpr std::size_t max_parallel_requests = 32;
 
-std::string text(const json::value& of, const char* name)
+std::string text(const json::value& object, const char* name)
 {
-    return json::value_to<std::string>(of.at(name));
+    return json::value_to<std::string>(object.at(name));
 }
 
 result<json::array> read_members(invocation& given)
@@ -33,7 +33,7 @@
     return body.at("members").as_array();
 }
 
-/** Adds each live member's own status under "status". */
+/** Adds to each live member the answer of its /v1/status as "status". */
 void fetch_statuses(invocation& given, json::array& members)
 {
     std::size_t next = 0;
@@ -175,9 +175,9 @@
     if (!found.empty())
         return exit_ok;
     fail(error(error_code::not_found,
-               "no node holds an account of call " + given.arguments[0],
-               "each node keeps its last 2048 calls; look into the caller's "
-               "own log for older ones"));
+               "no node has a record of call " + given.arguments[0],
+               "each node keeps its last 2048 calls; older ones may be in "
+               "the log of the caller"));
     return exit_refused;
 }
 
