--- a/apps/tiller/report.cpp
+++ b/apps/tiller/report.cpp
@@ -1,4 +1,4 @@
-/** @file How failures are told to operators. */
+/** @file Prints failures to standard error. */
 #include "command.hpp"
 
 #include <boost/json.hpp>
