--- a/apps/tiller/rollouts.cpp
+++ b/apps/tiller/rollouts.cpp
@@ -1,4 +1,4 @@
-/** @file The subcommand for roll-outs of targets' releases. */
+/** @file The subcommand that lists, starts and aborts roll-outs. */
 #include "command.hpp"
 
 #include "tillerhall/http/api_client.hpp"
@@ -16,15 +16,16 @@
 
 constexpr const char* path = "/v1/rollouts";
 
-std::string text(const json::value& of, const char* name)
+std::string text(const json::value& object, const char* name)
 {
-    return json::value_to<std::string>(of.at(name));
+    return json::value_to<std::string>(object.at(name));
 }
 
-std::string seconds(const json::value& of, const char* name)
+std::string seconds(const json::value& object, const char* name)
 {
     constexpr std::int64_t ms_per_s = 1000;
-    return std::to_string(of.at(name).to_number<std::int64_t>() / ms_per_s) +
+    return std::to_string(object.at(name).to_number<std::int64_t>() /
+                          ms_per_s) +
            " s";
 }
 
@@ -41,7 +42,7 @@
     if (!text(rollout, "reason").empty())
         std::cout << "    " << text(rollout, "reason") << "\n";
     for (const auto& each : rollout.at("suspects").as_array())
-        std::cout << "    suspect: " << each.as_string().c_str() << "\n";
+        std::cout << "    regressed: " << each.as_string().c_str() << "\n";
     for (const auto& each : rollout.at("evidence").as_array())
         std::cout << "    " << text(each, "release") << ", rank "
                   << each.at("rank").to_number<int>() << " within "
@@ -67,7 +68,7 @@
     for (const auto& each : rollouts)
         print_rollout(each);
     if (rollouts.empty())
-        std::cout << "no roll-out was ordered\n";
+        std::cout << "there are no roll-outs\n";
     return exit_ok;
 }
 
@@ -103,7 +104,7 @@
             given, "DELETE",
             std::string(path) + "?service=" + percent_encode(arguments[1]), "");
     return fail(error(error_code::invalid_argument,
-                      "not understood: rollout " + arguments[0],
+                      "unknown subcommand: rollout " + arguments[0],
                       "use list, start SERVICE RELEASE [--timeout SECONDS], "
                       "or abort SERVICE"));
 }
