--- a/apps/tiller/versions.cpp
+++ b/apps/tiller/versions.cpp
@@ -1,4 +1,4 @@
-/** @file Subcommands that make or follow versions. */
+/** @file Subcommands that accept, restore, watch and list versions. */
 #include "command.hpp"
 
 #include "tillerhall/core/random.hpp"
@@ -39,7 +39,8 @@
     return user == nullptr ? "operator" : user;
 }
 
-/** Sends an accept until its outcome is known; the id makes that safe. */
+/** Sends an accept and retries while its outcome is unknown; the accept id
+ * makes it idempotent. */
 result<http_response> send_accept(invocation& given, const json::object& body)
 {
     constexpr unsigned outcome_unknown_status = 504;
@@ -87,11 +88,11 @@
     {
         for (const auto& line : body.at("changes").as_array())
             std::cout << line.as_string().c_str() << "\n";
-        const char* how = body.at("unchanged").as_bool() ? "unchanged, still"
-                          : body.at("repeated").as_bool()
-                              ? "already accepted as"
-                              : "accepted as";
-        std::cout << how << " version " << version << "\n";
+        const char* result_text =
+            body.at("unchanged").as_bool()  ? "unchanged, still"
+            : body.at("repeated").as_bool() ? "already accepted as"
+                                            : "accepted as";
+        std::cout << result_text << " version " << version << "\n";
     }
     if (given.options.count("watch") != 0)
         return watch_version(given, version);
@@ -181,7 +182,7 @@
     const auto old = given.mesh.read_csv(std::stoull(argument), version);
     if (!old)
         return fail(old.reason());
-    // The head is read just before: an accept in between is a conflict.
+    // The base is the newest version, so an accept in between is a conflict.
     std::uint64_t head = 0;
     if (const auto current = given.mesh.read_csv(0, head); !current)
         return fail(current.reason());
