--- a/apps/tiller/burn_report.cpp
+++ b/apps/tiller/burn_report.cpp
@@ -1,4 +1,4 @@
-/** @file The report on service-level burn, as text, JSON and a page. */
+/** @file The report on service-level burn, as text, JSON or an HTML page. */
 #include "command.hpp"
 
 #include <algorithm>
@@ -86,7 +86,7 @@
     return safe;
 }
 
-/** @return bars of the burn rate over the four windows, as SVG. */
+/** @return a bar chart of the burn rates of the four windows, as SVG. */
 std::string burn_bars(const json::value& row)
 {
     constexpr double width = 220;
@@ -110,7 +110,7 @@
             << y + 11 << "' font-size='11'>" << fixed(rate) << "</text>";
         y += bar_height + 4;
     }
-    // A rate of 1 uses up just the budget.
+    // Marks rate 1, which uses up exactly the budget.
     svg << "<line x1='" << 34 + width / max_burn_rate << "' x2='"
         << 34 + width / max_burn_rate << "' y1='0' y2='" << y
         << "' stroke='#555' stroke-dasharray='2,2'/></svg>";
@@ -197,7 +197,7 @@
     if (missing != 0)
         std::cerr << missing
                   << " parts of the mesh did not answer; their "
-                     "calls are missing here. Remedy: see `tiller nodes`\n";
+                     "calls are not included. Remedy: see `tiller nodes`\n";
     return exit_ok;
 }
 
