--- a/apps/tiller/main.cpp
+++ b/apps/tiller/main.cpp
@@ -1,4 +1,4 @@
-/** @file The operators' command line. */
+/** @file The command-line tool for operators. */
 #include "command.hpp"
 
 #include <algorithm>
@@ -26,11 +26,11 @@
             "tiller check draft.csv", 1, 1, run_check},
     command{"diff", "A B", "compare two versions or drafts cell by cell",
             "tiller diff 12 draft.csv", 2, 2, run_diff},
-    command{"accept", "DRAFT.csv", "put a draft in force on every proxy",
+    command{"accept", "DRAFT.csv", "put a draft in force on every node",
             "tiller accept draft.csv --watch", 1, 1, run_accept},
     command{"watch", "[VERSION]", "follow a version until it is in force",
             "tiller watch 13 --timeout 10", 0, 1, run_watch},
-    command{"history", "", "list the last versions and their cells",
+    command{"history", "", "list the last versions and the cells they changed",
             "tiller history --limit 5", 0, 0, run_history},
     command{"restore", "VERSION", "accept an old table as a new version",
             "tiller restore 12 --watch", 1, 1, run_restore},
@@ -41,14 +41,15 @@
     command{"why", "[SUBJECT]", "show what a node decided and why",
             "tiller why perceel --node 10.0.0.5:7400", 0, 1, run_why},
     command{"explain", "REQUEST_ID",
-            "show what became of a call, from the nodes that took it",
+            "show the attempts and the outcome of a call",
             "tiller explain 4f1c22", 1, 1, run_explain},
     command{"report", "burn", "service-level burn of all services and places",
             "tiller report burn --service perceel --html burn.html", 1, 1,
             run_report},
-    command{"rollout", "[list | start SERVICE RELEASE | abort SERVICE]",
-            "see, order or take back another release of a service's targets",
-            "tiller rollout start perceel v2 --timeout 600", 0, 3, run_rollout},
+    command{
+        "rollout", "[list | start SERVICE RELEASE | abort SERVICE]",
+        "list, start or abort roll-outs of a release to a service's targets",
+        "tiller rollout start perceel v2 --timeout 600", 0, 3, run_rollout},
     command{"completion", "", "print a bash completion script",
             "source <(tiller completion)", 0, 0, run_completion},
 };
@@ -57,24 +58,25 @@
 {
     cxxopts::Options options("tiller " + name);
     options.add_options()("node",
-                          "operator address of a node, several by commas "
+                          "operator addresses of nodes, separated by commas "
                           "(or TILLER_NODES)",
                           cxxopts::value<std::vector<std::string>>())(
         "token-file", "file with the operator token (or TILLER_TOKEN)",
         cxxopts::value<std::string>())("json", "print JSON")(
-        "accept-id", "name of this accept, to repeat it safely",
+        "accept-id", "idempotency key of this accept, for retries",
         cxxopts::value<std::string>())("base",
                                        "version the draft was taken from",
                                        cxxopts::value<std::uint64_t>())(
-        "rebase", "keep newer versions' edits of other cells")(
+        "rebase",
+        "merge the draft with edits of newer versions to other cells")(
         "watch", "follow the version until it is in force")(
-        "timeout", "seconds to watch, or to roll out within",
+        "timeout", "seconds until a watch or a roll-out times out",
         cxxopts::value<double>()->default_value("60"))(
         "limit", "versions to list",
         cxxopts::value<unsigned>()->default_value("20"))(
         "service", "only this service", cxxopts::value<std::string>())(
         "html", "write the report as a page to this file",
-        cxxopts::value<std::string>())("author", "who accepts",
+        cxxopts::value<std::string>())("author", "author of the new version",
                                        cxxopts::value<std::string>())(
         "add", "make the row if there is none")("remove", "drop the row")(
         "h,help", "show this")("arguments", "",
@@ -85,7 +87,8 @@
 
 void print_overview()
 {
-    std::cout << "tiller: the operators' command line of tillerhall\n\n";
+    std::cout
+        << "tiller: the command-line tool for operators of tillerhall\n\n";
     for (const auto& each : commands())
         std::cout << "  tiller " << each.name
                   << (each.arguments.empty() ? "" : " ") << each.arguments
