--- a/apps/tiller/drafts.cpp
+++ b/apps/tiller/drafts.cpp
@@ -1,4 +1,4 @@
-/** @file Subcommands on drafts and versions: show, edit, check, diff. */
+/** @file Subcommands for drafts: show, edit, check and diff. */
 #include "command.hpp"
 
 #include "tillerhall/table/column.hpp"
@@ -53,7 +53,7 @@
     return {};
 }
 
-/** Sets one "COLUMN=VALUE". */
+/** Sets the cell that @p assignment, "COLUMN=VALUE", names. */
 result<void> apply_assignment(row& edited, const std::string& assignment)
 {
     const auto equals = assignment.find('=');
@@ -61,10 +61,10 @@
         return error(error_code::bad_syntax,
                      "\"" + assignment + "\" is not COLUMN=VALUE",
                      "write for example weight=50");
-    const auto of = find_column(assignment.substr(0, equals));
-    if (!of)
-        return of.reason();
-    return set_cell(edited, **of, assignment.substr(equals + 1));
+    const auto column = find_column(assignment.substr(0, equals));
+    if (!column)
+        return column.reason();
+    return set_cell(edited, **column, assignment.substr(equals + 1));
 }
 
 result<void> edit_table(config_table& table, invocation& given)
@@ -98,7 +98,7 @@
                                                 { return std::isdigit(c); });
 }
 
-/** @return the table of a version number or of a draft file. */
+/** @return the table of a version number, or of the draft at a path. */
 result<config_table> read_version_or_draft(invocation& given,
                                            const std::string& argument)
 {
