--- a/tests/integration/command_line.cpp
+++ b/tests/integration/command_line.cpp
@@ -1,4 +1,4 @@
-/** @file The operators' command line and the daemon's settings, as run. */
+/** @file `tiller` and `tillerd`, run as programs. */
 #include "system.hpp"
 
 #include "tillerhall/table/csv.hpp"
@@ -13,7 +13,7 @@
 namespace
 {
 
-/** A small system and a way to run `tiller` against it. */
+/** A small cluster, and `tiller` run against it. */
 class tiller_session
 {
 public:
@@ -27,7 +27,7 @@
     {
         std::vector<std::string> argv{program_folder() + "/tiller"};
         argv.insert(argv.end(), arguments.begin(), arguments.end());
-        // The first address is nobody's: the next one must be tried.
+        // Nothing listens at the first address, so `tiller` must fail over.
         const auto nodes = "127.0.0.1:1," + system.nodes()[0].operators.text() +
                            "," + system.nodes()[1].operators.text();
         return run(argv, {{"TILLER_NODES", nodes},
@@ -92,7 +92,7 @@
         });
 }
 
-TEST_CASE("an accept id makes a repeated accept one version")
+TEST_CASE("accepts with the same accept id create one version")
 {
     on_worker(
         [](worker& on)
@@ -114,7 +114,7 @@
         });
 }
 
-TEST_CASE("racing edits: refused with the way out, kept with --rebase")
+TEST_CASE("a concurrent edit is refused as a conflict, and --rebase merges it")
 {
     on_worker(
         [](worker& on)
@@ -144,7 +144,7 @@
         });
 }
 
-TEST_CASE("bad input on the command line is told with its remedy")
+TEST_CASE("invalid input is reported with a remedy and an exit code")
 {
     on_worker(
         [](worker& on)
@@ -205,7 +205,7 @@
         });
 }
 
-TEST_CASE("every command has help with an example, and completion names it")
+TEST_CASE("every command has help with an example and is in the completion")
 {
     const auto program = program_folder() + "/tiller";
     const auto overview = run({program, "--help"});
@@ -223,7 +223,7 @@
     }
 }
 
-TEST_CASE("docs/SETTINGS.md lists the settings there are")
+TEST_CASE("docs/SETTINGS.md contains the output of --list-settings")
 {
     const std::filesystem::path root =
         std::filesystem::path(program_folder()).parent_path();
@@ -234,7 +234,7 @@
     CHECK_THAT(page, Catch::Contains(listed.out));
 }
 
-TEST_CASE("the burn report and the account of a call tell what happened")
+TEST_CASE("report burn and explain show failed calls")
 {
     on_worker(
         [](worker& on)
@@ -272,7 +272,7 @@
         });
 }
 
-TEST_CASE("the daemon checks its settings: exit 2 for bad ones, 0 for ours")
+TEST_CASE("--check-config exits 2 for bad settings and 0 for those in conf/")
 {
     const auto program = program_folder() + "/tillerd";
     const std::filesystem::path conf =
--- a/tests/platform/decoders.cpp
+++ b/tests/platform/decoders.cpp
@@ -1,4 +1,4 @@
-/** @file The adapter's decoders: the platform's messages as our types. */
+/** @file Decoders of the platform's configuration, reports and rows. */
 #include "config_decoder.hpp"
 #include "report_decoder.hpp"
 #include "rollout_decoder.hpp"
@@ -51,7 +51,7 @@
 
 } // namespace
 
-TEST_CASE("a configuration becomes routes")
+TEST_CASE("a configuration is decoded into routes")
 {
     const auto routes = platform::decode_routes(json::serialize(good_config()));
     REQUIRE(routes);
@@ -72,15 +72,15 @@
     CHECK(split->shares[1].weight == 10);
 }
 
-TEST_CASE("every kind of call is read as what it allows")
+TEST_CASE("each kind of call maps to a call_kind and its idempotency")
 {
-    struct reading
+    struct kind_case
     {
         const char* kind;
         call_kind read;
         bool repeatable;
     };
-    const std::vector<reading> table{
+    const std::vector<kind_case> table{
         {"safe", call_kind::repeatable, true},
         {"unsafe", call_kind::once, false},
         {"upload", call_kind::large_once, false},
@@ -100,11 +100,11 @@
     }
 }
 
-TEST_CASE("a configuration with a fault is refused whole and the fault named")
+TEST_CASE("an invalid configuration is refused and the error names the member")
 {
     struct fault
     {
-        const char* named;
+        const char* expected_detail;
         std::function<void(json::object&)> make;
     };
     const auto route = [](json::object& config, int index) -> json::object&
@@ -142,20 +142,21 @@
         auto config = good_config();
         each.make(config);
         const auto routes = platform::decode_routes(json::serialize(config));
-        INFO(each.named);
+        INFO(each.expected_detail);
         REQUIRE_FALSE(routes);
-        CHECK(routes.reason().detail().find(each.named) != std::string::npos);
+        CHECK(routes.reason().detail().find(each.expected_detail) !=
+              std::string::npos);
     }
 }
 
-TEST_CASE("a configuration that is cut short at any byte is refused")
+TEST_CASE("a configuration truncated at any byte is refused")
 {
     const auto text = json::serialize(good_config());
     for (std::size_t size = 0; size < text.size(); ++size)
         CHECK_FALSE(platform::decode_routes(text.substr(0, size)));
 }
 
-TEST_CASE("a report becomes the project's type")
+TEST_CASE("a report is decoded into a target_report")
 {
     const auto read = platform::decode_report(report_request(
         "/instances/i-7/heartbeat", json::serialize(good_report())));
@@ -171,7 +172,7 @@
     CHECK(report.release == "v1");
 }
 
-TEST_CASE("the last word of a target needs no body")
+TEST_CASE("a deregistration needs no body")
 {
     const auto read = platform::decode_report(
         report_request("/instances/i-7/deregister", ""));
@@ -181,7 +182,7 @@
     CHECK((**read).state == report_state::leaving);
 }
 
-TEST_CASE("malformed reports are refused, other requests are none")
+TEST_CASE("malformed reports are refused and other requests ignored")
 {
     for (const auto* member : {"service", "address", "zone", "version", "slots",
                                "state", "coldRemaining", "sequence"})
@@ -210,7 +211,7 @@
     CHECK_FALSE(platform::decode_report(get));
 }
 
-TEST_CASE("rows of the store are decoded, malformed ones refused")
+TEST_CASE("rows of the store are decoded and malformed ones refused")
 {
     const auto page = platform::decode_rows(
         R"({"rows":[{"table":"t","part":"p","key":"k","value":"bm9kZS0x","ver":4},
@@ -230,7 +231,7 @@
         CHECK_FALSE(platform::decode_rows(bad));
 }
 
-TEST_CASE("orders of roll-outs are read, others refused or passed over")
+TEST_CASE("roll-out orders are decoded, malformed ones refused, others ignored")
 {
     const auto rows = platform::make_rollout_source();
     const auto row = [](const std::string& key, const std::string& value)
@@ -265,7 +266,7 @@
     }
 }
 
-TEST_CASE("a roll-out's state comes back from its row, also another writer's")
+TEST_CASE("a roll-out's state survives a round trip; its start is optional")
 {
     const auto rows = platform::make_rollout_source();
     CHECK(rows.verdict_row("s1") == row_name{"status", "", "rollout/s1"});
@@ -293,7 +294,7 @@
     }
 }
 
-TEST_CASE("accounts and what cold targets bear are read with the routes")
+TEST_CASE("client accounts and cold-start limits are decoded with the routes")
 {
     auto config = good_config();
     config["tenants"] = json::parse(
@@ -321,9 +322,9 @@
     CHECK((*routes)->terms_of("unknown").cold_per_s == 0);
 }
 
-TEST_CASE("odd accounts refuse the version, without telling a key")
+TEST_CASE("invalid accounts are refused and no error shows an API key")
 {
-    for (const auto* odd :
+    for (const auto* accounts :
          {R"([{"apiKeys":["sesame"]}])", R"([{"name":"a","apiKeys":"sesame"}])",
           R"([{"name":"a","apiKeys":[7]}])",
           R"([{"name":"a","apiKeys":["sesame"],"ratePerS":-1}])",
@@ -333,15 +334,15 @@
           R"({"name":"a"})"})
     {
         auto config = good_config();
-        config["tenants"] = json::parse(odd);
+        config["tenants"] = json::parse(accounts);
         const auto routes = platform::decode_routes(json::serialize(config));
-        CAPTURE(odd);
+        CAPTURE(accounts);
         REQUIRE_FALSE(routes);
         CHECK(routes.reason().message().find("sesame") == std::string::npos);
     }
 }
 
-TEST_CASE("an order to drain a domain is the row's name, whatever it holds")
+TEST_CASE("a drain order is the key of its row, whatever the value")
 {
     const auto row = [](const std::string& table, const std::string& key)
     {
@@ -356,7 +357,7 @@
     CHECK_FALSE(platform::drained_domain(row("members", "evacuate/hall-a")));
 }
 
-TEST_CASE("a report tells when its target began, and holds without it")
+TEST_CASE("the start time of a target is an optional member of its reports")
 {
     auto report = good_report();
     report["born"] = 1'700'000'000'123;
