--- a/apps/tiller/burn_report.cpp
+++ b/apps/tiller/burn_report.cpp
@@ -117,7 +117,7 @@
     return svg.str();
 }
 
-std::string page(const json::array& rows)
+std::string html_page(const json::array& rows)
 {
     std::ostringstream html;
     html << "<!doctype html><html lang='en'><meta charset='utf-8'><title>"
@@ -182,7 +182,7 @@
     {
         const auto path = given.options["html"].as<std::string>();
         std::ofstream file(path);
-        file << page(rows);
+        file << html_page(rows);
         file.close();
         if (!file)
             return fail(error(error_code::invalid_argument,
--- a/apps/tiller/mesh_client.cpp
+++ b/apps/tiller/mesh_client.cpp
@@ -43,7 +43,7 @@
 }
 
 result<std::string> mesh_client::read_csv(std::uint64_t version,
-                                          std::uint64_t& read)
+                                          std::uint64_t& read_version)
 {
     const auto answer =
         ask("GET", "/v1/table?version=" + std::to_string(version));
@@ -55,7 +55,7 @@
         return error(error_code::not_found, "version " +
                                                 std::to_string(version) + ": " +
                                                 answer->body);
-    read = boost::json::value_to<std::uint64_t>(body.at("version"));
+    read_version = boost::json::value_to<std::uint64_t>(body.at("version"));
     return boost::json::value_to<std::string>(body.at("csv"));
 }
 
--- a/apps/tiller/mesh_client.hpp
+++ b/apps/tiller/mesh_client.hpp
@@ -31,9 +31,10 @@
     result<http_response> ask_node(const address& node,
                                    const std::string& target);
 
-    /** @return the table of @p version (0: the newest) as CSV; @p read is set
-     * to its version. */
-    result<std::string> read_csv(std::uint64_t version, std::uint64_t& read);
+    /** @return the table of @p version (0: the newest) as CSV; @p read_version
+     * is set to its version. */
+    result<std::string> read_csv(std::uint64_t version,
+                                 std::uint64_t& read_version);
 
 private:
     boost::asio::io_context& m_io;
--- a/apps/tiller/versions.cpp
+++ b/apps/tiller/versions.cpp
@@ -125,7 +125,7 @@
     {
         if (line == m_last)
             return;
-        if (m_live)
+        if (m_is_terminal)
             std::cout << "\r\033[K" << line << std::flush;
         else
             std::cout << line << "\n" << std::flush;
@@ -134,12 +134,12 @@
 
     void end()
     {
-        if (m_live && !m_last.empty())
+        if (m_is_terminal && !m_last.empty())
             std::cout << "\n";
     }
 
 private:
-    bool m_live = ::isatty(STDOUT_FILENO) != 0;
+    bool m_is_terminal = ::isatty(STDOUT_FILENO) != 0;
     std::string m_last;
 };
 
--- a/tests/integration/command_line.cpp
+++ b/tests/integration/command_line.cpp
@@ -43,9 +43,9 @@
 
     static cluster_options options()
     {
-        auto made = akkerbond(3);
-        made.share_targets = true;
-        return made;
+        auto cluster_config = akkerbond(3);
+        cluster_config.share_targets = true;
+        return cluster_config;
     }
 
     started_cluster system;
--- a/tests/platform/decoders.cpp
+++ b/tests/platform/decoders.cpp
@@ -236,11 +236,11 @@
     const auto rows = platform::make_rollout_source();
     const auto row = [](const std::string& key, const std::string& value)
     {
-        stored_row made;
-        made.name = {"op", "", key};
-        made.value = value;
-        made.revision = 9;
-        return made;
+        stored_row new_row;
+        new_row.name = {"op", "", key};
+        new_row.value = value;
+        new_row.revision = 9;
+        return new_row;
     };
     const std::string good =
         R"({"service":"s1","targetVersion":"v2","duration":12.5})";
@@ -346,10 +346,10 @@
 {
     const auto row = [](const std::string& table, const std::string& key)
     {
-        stored_row made;
-        made.name = {table, "", key};
-        made.value = "no JSON";
-        return made;
+        stored_row new_row;
+        new_row.name = {table, "", key};
+        new_row.value = "no JSON";
+        return new_row;
     };
     CHECK(platform::drained_domain(row("op", "evacuate/hall-a")) == "hall-a");
     CHECK_FALSE(platform::drained_domain(row("op", "evacuate/")));
