--- a/apps/tiller/drafts.cpp
+++ b/apps/tiller/drafts.cpp
@@ -1,4 +1,4 @@
-/** @file Subcommands on drafts and versions: show, edit, check, diff. */
+/** @file Subcommands for drafts: show, edit, check and diff. */
 #include "command.hpp"
 
 #include "tillerhall/table/column.hpp"
@@ -37,34 +37,34 @@
         std::cerr << each.message() << "\n";
 }
 
-/** Writes beside @p path first, so that a draft is never half written. */
+/** Replaces the file at @p path by renaming a complete new one over it. */
 result<void> write_file(const std::string& path, const std::string& text)
 {
-    const auto beside = path + ".new";
-    std::ofstream file(beside);
+    const auto temporary = path + ".new";
+    std::ofstream file(temporary);
     file << text;
     file.close();
     std::error_code failed;
     if (file)
-        std::filesystem::rename(beside, path, failed);
+        std::filesystem::rename(temporary, path, failed);
     if (!file || failed)
         return error(error_code::invalid_argument, "cannot write " + path,
                      "check that the folder is writable and not full");
     return {};
 }
 
-/** Sets one "COLUMN=VALUE". */
-result<void> set_one(row& edited, const std::string& assignment)
+/** Sets the cell that @p assignment, "COLUMN=VALUE", names. */
+result<void> apply_assignment(row& edited, const std::string& assignment)
 {
     const auto equals = assignment.find('=');
     if (equals == std::string::npos)
         return error(error_code::bad_syntax,
                      "\"" + assignment + "\" is not COLUMN=VALUE",
                      "write for example weight=50");
-    const auto of = find_column(assignment.substr(0, equals));
-    if (!of)
-        return of.reason();
-    return set_cell(edited, **of, assignment.substr(equals + 1));
+    const auto column = find_column(assignment.substr(0, equals));
+    if (!column)
+        return column.reason();
+    return set_cell(edited, **column, assignment.substr(equals + 1));
 }
 
 result<void> edit_table(config_table& table, invocation& given)
@@ -86,7 +86,7 @@
                      "no row " + key.service + " at " + key.place,
                      "check the names, or give --add to make the row");
     for (std::size_t i = 3; i < given.arguments.size(); ++i)
-        if (auto set = set_one(edited, given.arguments[i]); !set)
+        if (auto set = apply_assignment(edited, given.arguments[i]); !set)
             return set;
     table.put(edited);
     return {};
@@ -98,13 +98,14 @@
                                                 { return std::isdigit(c); });
 }
 
-/** @return the table of a version number or of a draft file. */
-result<config_table> read_side(invocation& given, const std::string& named)
+/** @return the table of a version number, or of the draft at a path. */
+result<config_table> read_version_or_draft(invocation& given,
+                                           const std::string& argument)
 {
     std::uint64_t ignored = 0;
-    const auto text = is_version(named)
-                          ? given.mesh.read_csv(std::stoull(named), ignored)
-                          : read_file(named);
+    const auto text = is_version(argument)
+                          ? given.mesh.read_csv(std::stoull(argument), ignored)
+                          : read_file(argument);
     if (!text)
         return text.reason();
     auto outcome = read_csv(*text);
@@ -195,10 +196,10 @@
 
 int run_diff(invocation& given)
 {
-    const auto from = read_side(given, given.arguments[0]);
+    const auto from = read_version_or_draft(given, given.arguments[0]);
     if (!from)
         return fail(from.reason());
-    const auto to = read_side(given, given.arguments[1]);
+    const auto to = read_version_or_draft(given, given.arguments[1]);
     if (!to)
         return fail(to.reason());
     const auto lines = describe(diff(*from, *to));
--- a/apps/tiller/rollouts.cpp
+++ b/apps/tiller/rollouts.cpp
@@ -1,4 +1,4 @@
-/** @file The subcommand for roll-outs of targets' releases. */
+/** @file The subcommand that lists, starts and aborts roll-outs. */
 #include "command.hpp"
 
 #include "tillerhall/http/api_client.hpp"
@@ -16,32 +16,34 @@
 
 constexpr const char* path = "/v1/rollouts";
 
-std::string text(const json::value& of, const char* name)
+std::string text(const json::value& object, const char* name)
 {
-    return json::value_to<std::string>(of.at(name));
+    return json::value_to<std::string>(object.at(name));
 }
 
-std::string seconds(const json::value& of, const char* name)
+std::string seconds(const json::value& object, const char* name)
 {
     constexpr std::int64_t ms_per_s = 1000;
-    return std::to_string(of.at(name).to_number<std::int64_t>() / ms_per_s) +
+    return std::to_string(object.at(name).to_number<std::int64_t>() /
+                          ms_per_s) +
            " s";
 }
 
-void print_rollout(const json::value& told)
+void print_rollout(const json::value& rollout)
 {
-    std::cout << text(told, "service") << ": " << text(told, "before") << " -> "
-              << text(told, "release") << "  " << text(told, "state");
-    if (text(told, "state") == "running")
-        std::cout << ", step " << text(told, "stage") << ", "
-                  << seconds(told, "age_ms") << " of "
-                  << seconds(told, "time_ms");
+    std::cout << text(rollout, "service") << ": " << text(rollout, "before")
+              << " -> " << text(rollout, "release") << "  "
+              << text(rollout, "state");
+    if (text(rollout, "state") == "running")
+        std::cout << ", step " << text(rollout, "stage") << ", "
+                  << seconds(rollout, "age_ms") << " of "
+                  << seconds(rollout, "time_ms");
     std::cout << "\n";
-    if (!text(told, "reason").empty())
-        std::cout << "    " << text(told, "reason") << "\n";
-    for (const auto& each : told.at("suspects").as_array())
-        std::cout << "    suspect: " << each.as_string().c_str() << "\n";
-    for (const auto& each : told.at("evidence").as_array())
+    if (!text(rollout, "reason").empty())
+        std::cout << "    " << text(rollout, "reason") << "\n";
+    for (const auto& each : rollout.at("suspects").as_array())
+        std::cout << "    regressed: " << each.as_string().c_str() << "\n";
+    for (const auto& each : rollout.at("evidence").as_array())
         std::cout << "    " << text(each, "release") << ", rank "
                   << each.at("rank").to_number<int>() << " within "
                   << each.at("objective_ms").to_number<int>()
@@ -66,7 +68,7 @@
     for (const auto& each : rollouts)
         print_rollout(each);
     if (rollouts.empty())
-        std::cout << "no roll-out was ordered\n";
+        std::cout << "there are no roll-outs\n";
     return exit_ok;
 }
 
@@ -88,21 +90,21 @@
 
 int run_rollout(invocation& given)
 {
-    const auto& words = given.arguments;
-    if (words.empty() || (words[0] == "list" && words.size() == 1))
+    const auto& arguments = given.arguments;
+    if (arguments.empty() || (arguments[0] == "list" && arguments.size() == 1))
         return list(given);
-    if (words[0] == "start" && words.size() == 3)
+    if (arguments[0] == "start" && arguments.size() == 3)
         return change(given, "POST", path,
                       json::serialize(json::object{
-                          {"service", words[1]},
-                          {"release", words[2]},
+                          {"service", arguments[1]},
+                          {"release", arguments[2]},
                           {"time_s", given.options["timeout"].as<double>()}}));
-    if (words[0] == "abort" && words.size() == 2)
+    if (arguments[0] == "abort" && arguments.size() == 2)
         return change(
             given, "DELETE",
-            std::string(path) + "?service=" + percent_encode(words[1]), "");
+            std::string(path) + "?service=" + percent_encode(arguments[1]), "");
     return fail(error(error_code::invalid_argument,
-                      "not understood: rollout " + words[0],
+                      "unknown subcommand: rollout " + arguments[0],
                       "use list, start SERVICE RELEASE [--timeout SECONDS], "
                       "or abort SERVICE"));
 }
