--- a/include/tillerhall/node/entry_proxy.hpp
+++ b/include/tillerhall/node/entry_proxy.hpp
@@ -1,4 +1,5 @@
-/** @file The entry's side of a call: choosing, passing on, retrying. */
+/** @file The entry node's side of a call: choice of a target, forwarding and
+ * retries. */
 #pragma once
 
 #include "tillerhall/node/claim_controller.hpp"
@@ -10,38 +11,40 @@
 namespace tillerhall
 {
 
-/** Takes calls from callers; one object a worker. */
+/** Serves the calls of callers. Each worker has its own instance. */
 class entry_proxy
 {
 public:
-    /** Told of nodes that could not be reached; called on any worker. */
-    using unreachable = std::function<void(const address&)>;
+    /** Called on any worker with the address of an unreachable node. */
+    using unreachable_callback = std::function<void(const address&)>;
 
-    /** @param claims lives on the worker @p first */
+    /** @param claims must be used on @p first_worker only */
     entry_proxy(const settings& config,
                 blackboard& board,
                 target_board& targets,
                 owner_proxy& local,
-                worker& on,
-                worker& first,
+                worker& own_worker,
+                worker& first_worker,
                 claim_controller& claims,
-                unreachable report);
+                unreachable_callback on_unreachable);
 
     /** Serves the calls on a caller's connection. */
     void serve(tcp_stream& stream);
 
 private:
     void handle(inbound_call& call);
-    relay_result pass_on(inbound_call& call, call_context& context);
-    relay_result pass_on_once(inbound_call& call, call_context& context);
-    relay_result try_targets(inbound_call& call, call_context& context);
-    relay_result answer_claim(inbound_call& call,
-                              const call_context& context,
-                              const claim_answer& claimed);
+    relay_result forward(inbound_call& call, call_context& context);
+    relay_result forward_claimed(inbound_call& call, call_context& context);
+    relay_result run_with_retries(inbound_call& call, call_context& context);
+    /** Answers a call whose claim was not granted. */
+    relay_result answer_denied_claim(inbound_call& call,
+                                     const call_context& context,
+                                     const claim_answer& claim_reply);
+    /** @param may_have_run set if an attempt ended with an unknown outcome */
     relay_result
-    try_each(inbound_call& call, call_context& context, bool& may_have_run);
-    bool must_be_claimed(const inbound_call& call,
-                         const call_context& context) const;
+    retry_loop(inbound_call& call, call_context& context, bool& may_have_run);
+    bool needs_claim(const inbound_call& call,
+                     const call_context& context) const;
     relay_result attempt(inbound_call& call,
                          const call_context& context,
                          const chosen_target& chosen);
@@ -49,13 +52,14 @@
                               const call_context& context,
                               const chosen_target& chosen,
                               time_point deadline);
-    bool may_try_again(const inbound_call& call,
-                       const call_context& context,
-                       const row& limits,
-                       const relay_result& result);
-    void count(const call_context& context, const relay_result& result);
+    bool may_retry(const inbound_call& call,
+                   const call_context& context,
+                   const row& limits,
+                   const relay_result& result);
+    void record_call(const call_context& context, const relay_result& result);
 
-    /** @return why the call misses its service's objective, empty if not. */
+    /** Returns why the call misses its service's objective, or an empty
+     * string if it meets it. */
     std::string burn_cause(const call_context& context,
                            const relay_result& result,
                            double took_ms) const;
@@ -66,9 +70,9 @@
     target_board& m_targets;
     owner_proxy& m_local;
     worker& m_worker;
-    worker& m_first;
+    worker& m_first_worker;
     claim_controller& m_claims;
-    unreachable m_report;
+    unreachable_callback m_on_unreachable;
     stream_pool m_pool;
 };
 
--- a/src/node/entry_claims.cpp
+++ b/src/node/entry_claims.cpp
@@ -1,4 +1,5 @@
-/** @file The part of the entry proxy that runs keyed calls at most once. */
+/** @file The entry proxy's handling of calls with an idempotency key, which
+ * run at most once. */
 #include "tillerhall/node/entry_proxy.hpp"
 
 #include <algorithm>
@@ -9,10 +10,10 @@
 namespace
 {
 
-// Claims are kept for 14 minutes.
-constexpr std::chrono::minutes longest_claimed_call(5);
+// Must stay below the 14 minutes for which a claim is stored.
+constexpr std::chrono::minutes max_claimed_call(5);
 
-/** What a repeat of a keyed call is told. */
+/** The response to a keyed call whose claim was not granted. */
 struct claim_problem
 {
     claim_verdict verdict;
@@ -57,8 +58,8 @@
 
 } // namespace
 
-bool entry_proxy::must_be_claimed(const inbound_call& call,
-                                  const call_context& context) const
+bool entry_proxy::needs_claim(const inbound_call& call,
+                              const call_context& context) const
 {
     if (context.repeatable ||
         call.head().count(field_name::idempotency_key) == 0)
@@ -70,8 +71,8 @@
                                 { return each.limits.repeatable != 0; });
 }
 
-relay_result entry_proxy::pass_on_once(inbound_call& call,
-                                       call_context& context)
+relay_result entry_proxy::forward_claimed(inbound_call& call,
+                                          call_context& context)
 {
     relay_result result;
     result.end = relay_end::not_run;
@@ -80,48 +81,50 @@
     context.claim_key =
         claim_key_of(call.head(), failed ? "" : remote.address().to_string());
     if (context.claim_key.empty())
-        return try_targets(call, context);
-    // The claim outlives the call by far, so that a holder that was paused
-    // finds its own deadline passed before the key is free again.
+        return run_with_retries(call, context);
+    // The claim outlives the call, so the deadline of a node that resumes after
+    // a pause has passed before the key can be claimed again.
     context.deadline =
-        std::min(context.deadline, context.start + longest_claimed_call);
+        std::min(context.deadline, context.start + max_claimed_call);
     const auto body = body_digest(call);
-    const auto claimed = run_on(
-        m_first, [&] { return m_claims.claim_key(context.claim_key, body); });
+    const auto claim_reply =
+        run_on(m_first_worker,
+               [&] { return m_claims.claim_key(context.claim_key, body); });
     m_board.metrics
         .get("tillerhall_claim_verdicts_total",
-             "verdict=\"" + std::string(name_of(claimed.verdict)) + "\"")
+             "verdict=\"" + std::string(name_of(claim_reply.verdict)) + "\"")
         .add();
-    if (claimed.verdict != claim_verdict::granted)
-        return answer_claim(call, context, claimed);
-    result = try_targets(call, context);
+    if (claim_reply.verdict != claim_verdict::granted)
+        return answer_denied_claim(call, context, claim_reply);
+    result = run_with_retries(call, context);
     const auto state = result.end == relay_end::answered ? claim_state::done
                        : result.end == relay_end::not_run
                            ? claim_state::released
                            : claim_state::unknown;
-    m_first.spawn([this, key = context.claim_key, state, kept = result.kept]
-                  { m_claims.finish(key, state, kept); });
+    m_first_worker.spawn(
+        [this, key = context.claim_key, state, kept = result.kept]
+        { m_claims.finish(key, state, kept); });
     return result;
 }
 
-relay_result entry_proxy::answer_claim(inbound_call& call,
-                                       const call_context& context,
-                                       const claim_answer& claimed)
+relay_result entry_proxy::answer_denied_claim(inbound_call& call,
+                                              const call_context& context,
+                                              const claim_answer& claim_reply)
 {
     relay_result result;
     result.end = relay_end::not_run;
-    if (claimed.verdict == claim_verdict::store_down)
+    if (claim_reply.verdict == claim_verdict::store_down)
     {
         result.detail = "the key could not be claimed, so the call was not "
                         "passed on";
         return result;
     }
     result.end = relay_end::answered;
-    if (claimed.answer)
-        send_replay(call, context.request_id, *claimed.answer);
+    if (claim_reply.answer)
+        send_replay(call, context.request_id, *claim_reply.answer);
     else
         send_problem(call, context.request_id,
-                     problem_of_claim(claimed.verdict));
+                     problem_of_claim(claim_reply.verdict));
     return result;
 }
 
--- a/src/node/entry_proxy.cpp
+++ b/src/node/entry_proxy.cpp
@@ -10,9 +10,9 @@
 
 constexpr std::chrono::minutes idle_timeout(2);
 constexpr milliseconds connect_timeout(500);
-constexpr std::size_t most_attempts = 3;
-constexpr std::size_t most_idle_per_peer = 64;
-constexpr std::size_t most_peers = 1024;
+constexpr std::size_t max_attempts = 3;
+constexpr std::size_t max_idle_per_peer = 64;
+constexpr std::size_t max_peers = 1024;
 
 call_problem bad_request(unsigned status, std::string detail)
 {
@@ -24,10 +24,10 @@
     return problem;
 }
 
-constexpr std::array<std::string_view, 6> end_names{
+constexpr std::array<std::string_view, 6> outcome_names{
     "answered", "not_run", "unknown", "timed_out", "cut", "caller_gone"};
 
-/** @return the longest time that any place gives a call of the service. */
+/** Returns the longest call timeout among the service's places. */
 milliseconds longest_timeout(const service_route& route)
 {
     const auto most = std::ranges::max(route.places, {},
@@ -43,7 +43,7 @@
 
 std::string_view name_of(relay_end end)
 {
-    return end_names[static_cast<std::size_t>(end)];
+    return outcome_names[static_cast<std::size_t>(end)];
 }
 
 call_verdict verdict_of(const relay_result& result)
@@ -52,7 +52,7 @@
     if (result.end == relay_end::not_run)
         return result.load ? call_verdict::refused : call_verdict::failed;
     if (result.end == relay_end::caller_gone)
-        return call_verdict::refused; // says nothing about the target
+        return call_verdict::refused; // not the target's fault
     const bool answered = result.end == relay_end::answered;
     return answered && result.status < server_errors ? call_verdict::good
                                                      : call_verdict::failed;
@@ -64,19 +64,19 @@
                          blackboard& board,
                          target_board& targets,
                          owner_proxy& local,
-                         worker& on,
-                         worker& first,
+                         worker& own_worker,
+                         worker& first_worker,
                          claim_controller& claims,
-                         unreachable report)
+                         unreachable_callback on_unreachable)
     : m_config(config)
     , m_board(board)
     , m_targets(targets)
     , m_local(local)
-    , m_worker(on)
-    , m_first(first)
+    , m_worker(own_worker)
+    , m_first_worker(first_worker)
     , m_claims(claims)
-    , m_report(std::move(report))
-    , m_pool(on.io(), most_idle_per_peer, config.rpc.ip)
+    , m_on_unreachable(std::move(on_unreachable))
+    , m_pool(own_worker.io(), max_idle_per_peer, config.rpc.ip)
 {
 }
 
@@ -109,7 +109,7 @@
     boost::system::error_code failed;
     const auto remote = stream.socket().remote_endpoint(failed);
     const auto ip = failed ? "" : remote.address().to_string();
-    // A call from this host comes from the target beside this node.
+    // A call from this host comes from the local target.
     return ip == m_config.caller.ip ? m_config.service : ip;
 }
 
@@ -121,9 +121,9 @@
     if (!fault.empty())
         return send_problem(call, context.request_id, bad_request(400, fault));
     ++m_board.calls_in_flight;
-    const auto result = pass_on(call, context);
+    const auto result = forward(call, context);
     --m_board.calls_in_flight;
-    count(context, result);
+    record_call(context, result);
     if (result.end == relay_end::answered ||
         result.end == relay_end::caller_gone || result.end == relay_end::cut)
         return;
@@ -133,7 +133,7 @@
     send_problem(call, context.request_id, problem);
 }
 
-relay_result entry_proxy::pass_on(inbound_call& call, call_context& context)
+relay_result entry_proxy::forward(inbound_call& call, call_context& context)
 {
     relay_result result;
     result.end = relay_end::not_run;
@@ -158,37 +158,38 @@
         result.end = relay_end::caller_gone;
         return result;
     }
-    if (const auto hold = hold_on(*m_board.suspects.get(), call))
-        return m_local.refuse_held(*hold);
-    return must_be_claimed(call, context) ? pass_on_once(call, context)
-                                          : try_targets(call, context);
+    if (const auto quarantine = hold_on(*m_board.suspects.get(), call))
+        return m_local.refuse_quarantined(*quarantine);
+    return needs_claim(call, context) ? forward_claimed(call, context)
+                                      : run_with_retries(call, context);
 }
 
-relay_result entry_proxy::try_targets(inbound_call& call, call_context& context)
+relay_result entry_proxy::run_with_retries(inbound_call& call,
+                                           call_context& context)
 {
     bool may_have_run = false;
-    auto result = try_each(call, context, may_have_run);
+    auto result = retry_loop(call, context, may_have_run);
     if (!may_have_run || result.end != relay_end::not_run)
         return result;
-    // The last try did not run, but the call may have run in an earlier one.
+    // The last attempt did not run, but an earlier one may have.
     result.end = relay_end::unknown;
     result.detail =
         "an earlier try may have run; the last one: " + result.detail;
     return result;
 }
 
-relay_result entry_proxy::try_each(inbound_call& call,
-                                   call_context& context,
-                                   bool& may_have_run)
+relay_result entry_proxy::retry_loop(inbound_call& call,
+                                     call_context& context,
+                                     bool& may_have_run)
 {
     relay_result result;
     result.end = relay_end::not_run;
     std::vector<address> tried;
-    for (std::size_t i = 0; i < most_attempts; ++i)
+    for (std::size_t i = 0; i < max_attempts; ++i)
     {
-        // Views may change between attempts: take the newest each time.
-        const auto now_routes = m_board.routes.get();
-        const auto chosen = m_targets.choose(*now_routes, context.service,
+        // Routes may change between attempts.
+        const auto routes_now = m_board.routes.get();
+        const auto chosen = m_targets.choose(*routes_now, context.service,
                                              tried, steady_clock::now());
         if (!chosen)
         {
@@ -212,21 +213,21 @@
                                     chosen->owner->place.domain,
                                     std::string(name_of(result.end)),
                                     result.detail, milliseconds_since(begin)});
-        if (!may_try_again(call, context, chosen->limits, result))
+        if (!may_retry(call, context, chosen->limits, result))
             return result;
         tried.push_back(chosen->owner->rpc);
-        const bool was_full = result.load && *result.load >= 1;
-        if (was_full && !m_targets.has_room(*now_routes, context.service, tried,
-                                            steady_clock::now()))
+        const bool was_saturated = result.load && *result.load >= 1;
+        if (was_saturated && !m_targets.has_room(*routes_now, context.service,
+                                                 tried, steady_clock::now()))
             return result;
     }
     return result;
 }
 
-bool entry_proxy::may_try_again(const inbound_call& call,
-                                const call_context& context,
-                                const row& limits,
-                                const relay_result& result)
+bool entry_proxy::may_retry(const inbound_call& call,
+                            const call_context& context,
+                            const row& limits,
+                            const relay_result& result)
 {
     if (steady_clock::now() >= context.deadline || !call.can_send_again())
         return false;
@@ -244,11 +245,11 @@
     const auto deadline =
         std::min(context.deadline,
                  context.start + milliseconds(chosen.limits.timeout_ms));
-    relay_result late;
-    late.end = relay_end::not_run;
-    late.detail = "the time for the call was over before it was passed on";
+    relay_result expired;
+    expired.end = relay_end::not_run;
+    expired.detail = "the time for the call was over before it was passed on";
     if (begin >= deadline)
-        return late;
+        return expired;
     m_targets.started(chosen.owner->rpc);
     auto result = chosen.owner->rpc == m_config.advertise_rpc
                       ? m_local.run(call, context, false)
@@ -270,7 +271,7 @@
         m_pool.take(peer, std::min<duration>(connect_timeout, deadline - now));
     if (!stream)
     {
-        m_report(chosen.owner->rpc);
+        m_on_unreachable(chosen.owner->rpc);
         relay_result refused;
         refused.end = relay_end::not_run;
         refused.detail = stream.reason().detail();
@@ -286,11 +287,12 @@
     auto result = relay_call(call, **stream, plan);
     if (result.reusable)
         m_pool.give_back(peer, std::move(*stream));
-    m_pool.trim(most_peers);
+    m_pool.trim(max_peers);
     return result;
 }
 
-void entry_proxy::count(const call_context& context, const relay_result& result)
+void entry_proxy::record_call(const call_context& context,
+                              const relay_result& result)
 {
     const auto service = "service=\"" + context.service + "\"";
     if (result.status == 404 && result.end == relay_end::not_run)
@@ -319,14 +321,14 @@
 {
     constexpr unsigned server_errors = 500;
     const auto found = m_config.objectives.find(context.service);
-    const auto goal =
+    const auto slo =
         found == m_config.objectives.end() ? objective{} : found->second;
     if (result.end != relay_end::answered)
         return result.detail.empty() ? std::string(name_of(result.end))
                                      : result.detail;
     if (result.status >= server_errors)
         return "status " + std::to_string(result.status);
-    return took_ms > goal.within_ms ? "slower than the objective" : "";
+    return took_ms > slo.within_ms ? "slower than the objective" : "";
 }
 
 } // namespace tillerhall
