--- a/include/tillerhall/node/owner_proxy.hpp
+++ b/include/tillerhall/node/owner_proxy.hpp
@@ -1,4 +1,5 @@
-/** @file The owner's side of a call: admission and the target itself. */
+/** @file The owner node's side of a call: admission and the call to the
+ * target. */
 #pragma once
 
 #include "tillerhall/core/worker.hpp"
@@ -12,47 +13,48 @@
 namespace tillerhall
 {
 
-/** Passes calls to the target beside this node; one object a worker. */
+/** Forwards calls to the local target. Each worker has its own instance. */
 class owner_proxy
 {
 public:
     owner_proxy(const settings& config,
                 blackboard& board,
-                call_admission& places,
-                end_register& ends,
-                worker& on);
+                call_admission& admission_gate,
+                end_register& crashes,
+                worker& own_worker);
 
-    /** Serves the calls that another node sends on @p stream. */
+    /** Serves calls from another node on @p stream. */
     void serve(tcp_stream& stream);
 
     /**
      * Runs one call at the target.
-     * @param from_peer whether the caller is another node
-     * @return how it ended; unless answered, nothing went to the caller.
+     * @param from_peer true if the call came from another node
+     * @return the result; unless its end is `answered` or `cut`, nothing was
+     * sent to the caller
      */
     relay_result
     run(inbound_call& call, const call_context& context, bool from_peer);
 
-    /** @return the refusal of a call under which targets ended. */
-    relay_result refuse_held(const call_hold& hold) const;
+    /** Returns the refusal of a poison call. */
+    relay_result refuse_quarantined(const call_hold& quarantine) const;
 
 private:
     relay_result run_admitted(inbound_call& call,
                               const call_context& context,
                               time_point deadline,
                               bool from_peer);
-    relay_result refuse(std::string why) const;
+    relay_result refuse(std::string reason) const;
     /** Sends @p call to the target on @p stream. */
     relay_result relay(inbound_call& call,
                        const relay_plan& plan,
                        std::unique_ptr<tcp_stream> stream);
-    /** @return whether the target refuses connections; asked after a call to
-     * it was lost, since one that lost an answer takes another connection. */
-    bool has_target_ended();
+    /** Returns true if the target refuses connections. Called after a lost
+     * answer, to tell a crash from a lost connection. */
+    bool has_target_crashed();
 
     const settings& m_config;
     blackboard& m_board;
-    call_admission& m_places;
+    call_admission& m_admission;
     end_register& m_ends;
     worker& m_worker;
     stream_pool m_pool;
--- a/src/node/owner_proxy.cpp
+++ b/src/node/owner_proxy.cpp
@@ -12,22 +12,22 @@
 
 constexpr std::chrono::minutes idle_timeout(2);
 constexpr milliseconds connect_timeout(1000);
-// Targets keep idle connections for some seconds at least.
-constexpr std::chrono::seconds probe_usable(3);
-constexpr unsigned run_failed = 500;
+// Shorter than the time for which targets keep idle connections.
+constexpr std::chrono::seconds probe_reuse_limit(3);
+constexpr unsigned first_server_error = 500;
 
-/** Idle connections a worker may keep so that the target's own bound holds
- * even while every slot has one of its own. */
-std::size_t most_idle(const settings& config)
+/** Returns how many idle connections a worker may keep without exceeding the
+ * target's connection limit while all of its slots are in use. */
+std::size_t max_idle(const settings& config)
 {
     const auto spare = config.target_connections - config.target_slots;
     const auto share = std::max<std::int64_t>(1, spare / config.workers);
     return static_cast<std::size_t>(std::min(share, config.target_slots));
 }
 
-std::string seconds_text(duration span)
+std::string seconds_text(duration wait)
 {
-    const double seconds = std::chrono::duration<double>(span).count();
+    const double seconds = std::chrono::duration<double>(wait).count();
     return std::to_string(std::max<std::int64_t>(
         1, static_cast<std::int64_t>(std::ceil(seconds))));
 }
@@ -36,15 +36,15 @@
 
 owner_proxy::owner_proxy(const settings& config,
                          blackboard& board,
-                         call_admission& places,
-                         end_register& ends,
-                         worker& on)
+                         call_admission& admission_gate,
+                         end_register& crashes,
+                         worker& own_worker)
     : m_config(config)
     , m_board(board)
-    , m_places(places)
-    , m_ends(ends)
-    , m_worker(on)
-    , m_pool(on.io(), most_idle(config), config.rpc.ip)
+    , m_admission(admission_gate)
+    , m_ends(crashes)
+    , m_worker(own_worker)
+    , m_pool(own_worker.io(), max_idle(config), config.rpc.ip)
 {
 }
 
@@ -60,7 +60,7 @@
             return;
         stream.expires_never();
         const auto context = read_context(call.head(), m_worker.unseen_since());
-        // A body that waits for 100 (Continue) is let in after admission.
+        // A body announced by Expect: 100-continue is read after admission.
         if (!call.expects_continue() && !call.read_prefix())
             return;
         const auto result = run(call, context, true);
@@ -69,28 +69,28 @@
             return;
         if (result.end != relay_end::answered)
             send_problem(call, context.request_id, problem_of(result),
-                         m_places.load());
+                         m_admission.load());
         keep_alive = call.can_keep_alive();
     }
 }
 
-relay_result owner_proxy::refuse(std::string why) const
+relay_result owner_proxy::refuse(std::string reason) const
 {
-    m_board.metrics.get("tillerhall_refused_total", "reason=\"" + why + "\"")
+    m_board.metrics.get("tillerhall_refused_total", "reason=\"" + reason + "\"")
         .add();
     relay_result refused;
     refused.end = relay_end::not_run;
-    refused.detail = std::move(why);
-    refused.retry_after = seconds_text(m_places.retry_after());
-    refused.load = m_places.load();
+    refused.detail = std::move(reason);
+    refused.retry_after = seconds_text(m_admission.retry_after());
+    refused.load = m_admission.load();
     return refused;
 }
 
-relay_result owner_proxy::refuse_held(const call_hold& hold) const
+relay_result owner_proxy::refuse_quarantined(const call_hold& quarantine) const
 {
-    auto held = refuse(ends_its_targets);
-    held.retry_after = seconds_text(hold.left);
-    return held;
+    auto refused = refuse(ends_its_targets);
+    refused.retry_after = seconds_text(quarantine.left);
+    return refused;
 }
 
 relay_result owner_proxy::run(inbound_call& call,
@@ -108,14 +108,14 @@
         return refuse("no_row_for_this_place");
     const auto deadline = std::min(
         context.deadline, context.start + milliseconds(limits->timeout_ms));
-    const auto verdict = m_places.acquire(
+    const auto verdict = m_admission.acquire(
         m_worker.io(), {.caller = context.caller, .deadline = deadline});
     if (verdict != admission_verdict::run)
         return refuse(std::string(name_of(verdict)));
     ++m_board.calls_in_flight;
     const auto begin = steady_clock::now();
     auto result = run_admitted(call, context, deadline, from_peer);
-    m_places.release(steady_clock::now() - begin);
+    m_admission.release(steady_clock::now() - begin);
     --m_board.calls_in_flight;
     return result;
 }
@@ -125,17 +125,17 @@
                                        time_point deadline,
                                        bool from_peer)
 {
-    relay_result gone;
-    gone.end = relay_end::caller_gone;
+    relay_result caller_gone_result;
+    caller_gone_result.end = relay_end::caller_gone;
     const auto now = steady_clock::now();
     auto stream = m_pool.take(
         m_config.target, std::min<duration>(connect_timeout, deadline - now));
     if (!stream)
         return refuse("target_not_reached");
     if (from_peer && call.expects_continue() && !call.read_prefix())
-        return gone;
-    if (const auto hold = hold_on(*m_board.suspects.get(), call))
-        return refuse_held(*hold);
+        return caller_gone_result;
+    if (const auto quarantine = hold_on(*m_board.suspects.get(), call))
+        return refuse_quarantined(*quarantine);
     relay_plan plan;
     plan.upstream = upstream_kind::target;
     plan.head = onward_head(call.head(), context, deadline, now);
@@ -144,7 +144,7 @@
     plan.request_id = context.request_id;
     plan.keep_answer = !context.claim_key.empty();
     if (from_peer)
-        plan.load = m_places.load();
+        plan.load = m_admission.load();
     return relay(call, plan, std::move(*stream));
 }
 
@@ -156,18 +156,18 @@
     auto result = relay_call(call, *stream, plan);
     if (result.reusable)
         m_pool.give_back(m_config.target, std::move(stream));
-    if (result.end == relay_end::answered && result.status < run_failed)
+    if (result.end == relay_end::answered && result.status < first_server_error)
         m_ends.ran_well(call, *m_board.suspects.get());
     const bool is_lost =
         result.end == relay_end::unknown || result.end == relay_end::cut;
-    if (is_lost && has_target_ended())
+    if (is_lost && has_target_crashed())
         m_ends.target_ended(m_config.target.text());
     return result;
 }
 
-bool owner_proxy::has_target_ended()
+bool owner_proxy::has_target_crashed()
 {
-    return m_pool.probe(m_config.target, connect_timeout, probe_usable) ==
+    return m_pool.probe(m_config.target, connect_timeout, probe_reuse_limit) ==
            boost::asio::error::connection_refused;
 }
 
