--- a/include/tillerhall/node/call_admission.hpp
+++ b/include/tillerhall/node/call_admission.hpp
@@ -1,4 +1,4 @@
-/** @file Admission shared by the workers, with waiting calls. */
+/** @file Thread-safe admission of calls, with a wait queue. */
 #pragma once
 
 #include "tillerhall/http/cancel_scope.hpp"
@@ -11,19 +11,20 @@
 namespace tillerhall
 {
 
-/** A call that asks for a place at the target. */
+/** A request for a slot at the target. */
 struct admission_request
 {
-    std::string caller; ///< service that calls, for fairness
+    std::string caller; ///< calling service, for fair queueing
     time_point deadline{};
-    std::uint32_t rank = 0;               ///< urgency; 0 goes first
-    time_point due{};                     ///< by which an answer is worth most
-    duration most_wait = duration::max(); ///< refused if it would be more
-    duration run{};                       ///< expected; zero: the mean run
-    cancel_scope* scope = nullptr;        ///< ends the wait, if given
+    std::uint32_t rank = 0; ///< priority; 0 is the highest
+    time_point due{};       ///< when the caller expects the answer
+    duration most_wait = duration::max(); ///< longest acceptable queueing time
+    duration run{};                       ///< expected run time; 0: the mean
+    cancel_scope* scope = nullptr;        ///< cancels the wait; may be null
 };
 
-/** Guards one `admission`. Lock order: a leaf; wakes are only posted. */
+/** Makes an `admission` safe to use from all workers. Lock order: leaf; wake
+ * callbacks are posted, never run under the lock. */
 class call_admission
 {
 public:
@@ -33,14 +34,14 @@
     }
 
     /**
-     * Takes a place at the target, after waiting in the queue at need.
-     * @param io of the calling fiber's worker
-     * @return `run`, or why the call must be refused as not run.
+     * Takes a slot at the target, waiting in the queue if necessary.
+     * @param io context of the calling fiber's worker
+     * @return `run`, or the reason to refuse the call as not run
      */
     admission_verdict acquire(boost::asio::io_context& io,
-                              const admission_request& asked);
+                              const admission_request& request);
 
-    /** Gives the place back after a run of @p took. */
+    /** Returns the slot after a run that took @p took. */
     void release(duration took);
 
     void set_limits(const admission_limits& limits);
@@ -49,7 +50,7 @@
     duration mean_run() const;
     duration retry_after() const;
     std::int64_t in_flight() const;
-    std::int64_t most_in_flight() const;
+    std::int64_t peak_in_flight() const;
 
 private:
     mutable std::mutex m_mutex;
--- a/src/node/call_admission.cpp
+++ b/src/node/call_admission.cpp
@@ -9,7 +9,7 @@
 {
 
 admission_verdict call_admission::acquire(boost::asio::io_context& io,
-                                          const admission_request& asked)
+                                          const admission_request& request)
 {
     const auto now = steady_clock::now();
     const auto timer = std::make_shared<boost::asio::steady_timer>(io);
@@ -17,29 +17,30 @@
     {
         const std::lock_guard lock(m_mutex);
         const auto verdict =
-            m_admission.arrive(now, {.deadline = asked.deadline,
-                                     .rank = asked.rank,
-                                     .due = asked.due,
-                                     .most_wait = asked.most_wait,
-                                     .run = asked.run});
+            m_admission.arrive(now, {.deadline = request.deadline,
+                                     .rank = request.rank,
+                                     .due = request.due,
+                                     .most_wait = request.most_wait,
+                                     .run = request.run});
         if (verdict != admission_verdict::wait)
             return verdict;
         timer->expires_at(
-            std::min(asked.deadline, now + m_admission.limits().queue_wait));
-        waiter.caller = asked.caller;
-        waiter.rank = asked.rank;
-        waiter.due = asked.due;
-        waiter.run = asked.run;
-        waiter.deadline = asked.deadline;
-        // The timer outlives the call: the wake may come after the wait.
+            std::min(request.deadline, now + m_admission.limits().queue_wait));
+        waiter.caller = request.caller;
+        waiter.rank = request.rank;
+        waiter.due = request.due;
+        waiter.run = request.run;
+        waiter.deadline = request.deadline;
+        // Shared, since the wakeup may be delivered after the wait.
         waiter.wake = [&io, timer]
         { boost::asio::post(io, [timer] { timer->cancel(); }); };
         m_admission.enqueue(waiter);
     }
     boost::system::error_code ignored;
-    if (asked.scope != nullptr)
+    if (request.scope != nullptr)
     {
-        const cancel_action action(*asked.scope, [timer] { timer->cancel(); });
+        const cancel_action action(*request.scope,
+                                   [timer] { timer->cancel(); });
         timer->async_wait(await{ignored});
     }
     else
@@ -88,10 +89,10 @@
     return m_admission.in_flight();
 }
 
-std::int64_t call_admission::most_in_flight() const
+std::int64_t call_admission::peak_in_flight() const
 {
     const std::lock_guard lock(m_mutex);
-    return m_admission.most_in_flight();
+    return m_admission.peak_in_flight();
 }
 
 } // namespace tillerhall
