--- a/src/node/claim_controller.cpp
+++ b/src/node/claim_controller.cpp
@@ -14,15 +14,15 @@
 
 namespace json = boost::json;
 
-// A batch at a time and at least so long between two: with 16 shards this
-// bounds the writes of the whole mesh.
-constexpr milliseconds between_writes(100);
-constexpr milliseconds ended_written_within(1000);
-constexpr milliseconds longest_wait(3000);
-constexpr milliseconds call_timeout(4000);
-constexpr unsigned most_attempts = 6;
-constexpr std::size_t answers_kept_bytes = 16 * 1024 * 1024;
-constexpr std::size_t most_abandoned = 10'000;
+// One batch at a time: with 16 shards, this bounds the write rate of the whole
+// mesh.
+constexpr milliseconds min_write_interval(100);
+constexpr milliseconds idle_write_interval(1000);
+constexpr milliseconds claim_timeout(3000);
+constexpr milliseconds rpc_timeout(4000);
+constexpr unsigned max_attempts = 6;
+constexpr std::size_t max_cached_bytes = 16 * 1024 * 1024;
+constexpr std::size_t max_abandoned = 10'000;
 
 constexpr const char* claim_method = "claim";
 constexpr const char* finish_method = "claimed";
@@ -42,7 +42,7 @@
         {"s", answer.status}, {"t", answer.content_type}, {"b", answer.body}};
 }
 
-kept_answer kept_from(const json::object& members)
+kept_answer kept_answer_from(const json::object& members)
 {
     return {json::value_to<unsigned>(members.at("s")),
             json::value_to<std::string>(members.at("t")),
@@ -65,7 +65,7 @@
         throw std::out_of_range("unknown verdict");
     answer.verdict = static_cast<claim_verdict>(verdict);
     if (const auto* kept = members.if_contains("a"))
-        answer.answer = kept_from(kept->as_object());
+        answer.answer = kept_answer_from(kept->as_object());
     return answer;
 }
 
@@ -76,17 +76,18 @@
     return verdict_names[static_cast<std::size_t>(verdict)];
 }
 
-/** A claim that waits for its batch; shared by its caller and the writer. */
+/** A claim that waits for its batch, shared by the claiming fiber and the
+ * write loop. */
 struct claim_controller::pending_claim
 {
-    pending_claim(boost::asio::io_context& io, claim asked)
-        : wanted(std::move(asked))
-        , settled(io, longest_wait)
+    pending_claim(boost::asio::io_context& io, claim new_claim)
+        : wanted(std::move(new_claim))
+        , resolved(io, claim_timeout)
     {
     }
 
     claim wanted;
-    boost::asio::steady_timer settled;
+    boost::asio::steady_timer resolved;
     std::optional<claim_answer> answer;
     unsigned attempts = 0;
 };
@@ -113,21 +114,22 @@
     m_mesh.on.spawn([this] { write_loop(); });
 }
 
-address claim_controller::keeper_of(std::size_t shard) const
+address claim_controller::coordinator_of(std::size_t shard) const
 {
     const auto shard_hash = mix_bits(shard + 1);
-    std::uint64_t greatest = 0;
-    address keeper = m_mesh.members.self().rpc;
+    std::uint64_t greatest_weight = 0;
+    address coordinator = m_mesh.members.self().rpc;
     for (const auto& each : m_mesh.members.ordered())
     {
         const auto weight = mix_bits(each.ring ^ shard_hash);
-        if (each.record->state == member_state::alive && weight >= greatest)
+        if (each.record->state == member_state::alive &&
+            weight >= greatest_weight)
         {
-            greatest = weight;
-            keeper = each.record->rpc;
+            greatest_weight = weight;
+            coordinator = each.record->rpc;
         }
     }
-    return keeper;
+    return coordinator;
 }
 
 bool claim_controller::is_self(const address& node) const
@@ -138,14 +140,14 @@
 claim_answer claim_controller::claim_key(const std::string& key,
                                          const std::string& body)
 {
-    const auto keeper = keeper_of(shard_of(key));
-    if (is_self(keeper))
-        return keep(key, body);
-    const auto answer = m_mesh.pool.call({keeper,
+    const auto coordinator = coordinator_of(shard_of(key));
+    if (is_self(coordinator))
+        return claim_locally(key, body);
+    const auto answer = m_mesh.pool.call({coordinator,
                                           traffic_kind::other,
                                           claim_method,
                                           {{"k", key}, {"b", body}},
-                                          call_timeout});
+                                          rpc_timeout});
     try
     {
         return answer ? answer_from(*answer) : claim_answer{};
@@ -160,21 +162,21 @@
                               claim_state state,
                               const std::optional<kept_answer>& answer)
 {
-    const auto keeper = keeper_of(shard_of(key));
-    if (is_self(keeper))
-        return keep_end(key, state, answer);
+    const auto coordinator = coordinator_of(shard_of(key));
+    if (is_self(coordinator))
+        return finish_locally(key, state, answer);
     json::object params{{"k", key}, {"s", static_cast<int>(state)}};
     if (answer)
         params["a"] = to_json(*answer);
-    // Should this be lost the key stays claimed, which is the safe side.
+    // If this message is lost, the key stays claimed, which is safe.
     (void)m_mesh.pool.call(
-        {keeper, traffic_kind::other, finish_method, params, call_timeout});
+        {coordinator, traffic_kind::other, finish_method, params, rpc_timeout});
 }
 
 json::object claim_controller::on_claim(const json::object& params)
 {
-    return to_json(keep(json::value_to<std::string>(params.at("k")),
-                        json::value_to<std::string>(params.at("b"))));
+    return to_json(claim_locally(json::value_to<std::string>(params.at("k")),
+                                 json::value_to<std::string>(params.at("b"))));
 }
 
 json::object claim_controller::on_finish(const json::object& params)
@@ -184,56 +186,56 @@
         throw std::out_of_range("unknown claim state");
     std::optional<kept_answer> answer;
     if (const auto* kept = params.if_contains("a"))
-        answer = kept_from(kept->as_object());
-    keep_end(json::value_to<std::string>(params.at("k")),
-             static_cast<claim_state>(state), answer);
+        answer = kept_answer_from(kept->as_object());
+    finish_locally(json::value_to<std::string>(params.at("k")),
+                   static_cast<claim_state>(state), answer);
     return {};
 }
 
-claim_answer claim_controller::keep(const std::string& key,
-                                    const std::string& body)
+claim_answer claim_controller::claim_locally(const std::string& key,
+                                             const std::string& body)
 {
-    const auto asked = std::make_shared<pending_claim>(
+    const auto pending = std::make_shared<pending_claim>(
         m_mesh.on.io(),
         claim{key, body, m_mesh.random(), claim_state::running});
-    m_pending.push_back(asked);
+    m_pending.push_back(pending);
     m_wake.cancel();
     boost::system::error_code ignored;
-    if (!asked->answer)
-        asked->settled.async_wait(await{ignored});
-    if (asked->answer)
-        return *asked->answer;
-    // Its caller is told that it did not run, so if the write took effect
-    // all the same the key must count as free.
-    if (m_abandoned.size() < most_abandoned)
-        m_abandoned.insert(asked->wanted.nonce);
-    m_pending.remove(asked);
+    if (!pending->answer)
+        pending->resolved.async_wait(await{ignored});
+    if (pending->answer)
+        return *pending->answer;
+    // The call is refused as not run, so the key must count as unclaimed even
+    // if the write still takes effect.
+    if (m_abandoned.size() < max_abandoned)
+        m_abandoned.insert(pending->wanted.nonce);
+    m_pending.remove(pending);
     return {};
 }
 
-void claim_controller::keep_end(const std::string& key,
-                                claim_state state,
-                                const std::optional<kept_answer>& answer)
+void claim_controller::finish_locally(const std::string& key,
+                                      claim_state state,
+                                      const std::optional<kept_answer>& answer)
 {
-    m_ended[key] = {"", state};
+    m_finished[key] = {"", state};
     if (answer && state == claim_state::done)
-        remember(key, *answer);
+        cache_answer(key, *answer);
 }
 
-void claim_controller::remember(const std::string& key,
-                                const kept_answer& answer)
+void claim_controller::cache_answer(const std::string& key,
+                                    const kept_answer& answer)
 {
-    m_answers[key] = answer;
-    m_answer_order.push_back(key);
-    m_answer_bytes += answer.body.size();
-    while (m_answer_bytes > answers_kept_bytes)
+    m_cached_answers[key] = answer;
+    m_cached_order.push_back(key);
+    m_cached_bytes += answer.body.size();
+    while (m_cached_bytes > max_cached_bytes)
     {
-        const auto oldest = m_answers.find(m_answer_order.front());
-        m_answer_order.pop_front();
-        if (oldest == m_answers.end())
+        const auto oldest = m_cached_answers.find(m_cached_order.front());
+        m_cached_order.pop_front();
+        if (oldest == m_cached_answers.end())
             continue;
-        m_answer_bytes -= oldest->second.body.size();
-        m_answers.erase(oldest);
+        m_cached_bytes -= oldest->second.body.size();
+        m_cached_answers.erase(oldest);
     }
 }
 
@@ -243,14 +245,14 @@
     {
         if (m_pending.empty())
         {
-            m_wake.expires_after(ended_written_within);
+            m_wake.expires_after(idle_write_interval);
             boost::system::error_code ignored;
             m_wake.async_wait(await{ignored});
         }
-        if (!m_pending.empty() || !m_ended.empty())
+        if (!m_pending.empty() || !m_finished.empty())
         {
             write_batch();
-            sleep_for(m_mesh.on.io(), between_writes);
+            sleep_for(m_mesh.on.io(), min_write_interval);
         }
     }
 }
@@ -259,76 +261,79 @@
 {
     if (const auto known = m_shards.find(number); known != m_shards.end())
         return &known->second;
-    claim_shard fresh(number);
+    claim_shard loaded(number);
     const auto items = m_store.list_last(
-        fresh.prefix(), static_cast<std::size_t>(claim_shard::ring_size));
-    if (!items || !fresh.load(*items))
+        loaded.prefix(), static_cast<std::size_t>(claim_shard::ring_size));
+    if (!items || !loaded.load(*items))
         return nullptr;
-    return &m_shards.insert_or_assign(number, std::move(fresh)).first->second;
+    return &m_shards.insert_or_assign(number, std::move(loaded)).first->second;
 }
 
 std::optional<claim_answer>
-claim_controller::judge(const claim_shard& shard,
-                        const pending_claim& asked) const
+claim_controller::check_existing(const claim_shard& shard,
+                                 const pending_claim& pending) const
 {
-    const auto* known = shard.find(asked.wanted.key, wall_clock_minute());
+    const auto* known = shard.find(pending.wanted.key, wall_clock_minute());
     if (known == nullptr || m_abandoned.contains(known->nonce))
         return std::nullopt;
     auto state = known->state;
-    if (const auto ended = m_ended.find(known->key); ended != m_ended.end())
-        state = ended->second.state;
+    if (const auto finished = m_finished.find(known->key);
+        finished != m_finished.end())
+        state = finished->second.state;
     if (state == claim_state::released)
         return std::nullopt;
-    if (known->nonce == asked.wanted.nonce)
+    if (known->nonce == pending.wanted.nonce)
         return claim_answer{claim_verdict::granted, std::nullopt};
-    if (known->body != asked.wanted.body)
+    if (known->body != pending.wanted.body)
         return claim_answer{claim_verdict::other_body, std::nullopt};
     if (state == claim_state::running)
         return claim_answer{claim_verdict::in_progress, std::nullopt};
     if (state == claim_state::unknown)
         return claim_answer{claim_verdict::may_have_run, std::nullopt};
     claim_answer answer{claim_verdict::already_ran, std::nullopt};
-    if (const auto kept = m_answers.find(known->key); kept != m_answers.end())
+    if (const auto kept = m_cached_answers.find(known->key);
+        kept != m_cached_answers.end())
         answer.answer = kept->second;
     return answer;
 }
 
-void claim_controller::settle(pending_claim& asked, claim_answer answer)
+void claim_controller::resolve(pending_claim& pending, claim_answer answer)
 {
-    asked.answer = std::move(answer);
-    asked.settled.cancel();
+    pending.answer = std::move(answer);
+    pending.resolved.cancel();
 }
 
-bool claim_controller::place(const std::shared_ptr<pending_claim>& asked)
+bool claim_controller::add_to_shard(
+    const std::shared_ptr<pending_claim>& pending)
 {
-    auto* shard = loaded_shard(shard_of(asked->wanted.key));
+    auto* shard = loaded_shard(shard_of(pending->wanted.key));
     if (shard == nullptr)
     {
-        settle(*asked, {});
+        resolve(*pending, {});
         return false;
     }
-    if (auto verdict = judge(*shard, *asked))
+    if (auto verdict = check_existing(*shard, *pending))
     {
-        settle(*asked, std::move(*verdict));
+        resolve(*pending, std::move(*verdict));
         return false;
     }
-    m_ended.erase(asked->wanted.key); // released: claimed anew
-    shard->put(asked->wanted, wall_clock_minute());
+    m_finished.erase(pending->wanted.key); // the key was released
+    shard->put(pending->wanted, wall_clock_minute());
     return true;
 }
 
-void claim_controller::put_ended()
+void claim_controller::put_finished()
 {
-    for (auto& [key, ended] : m_ended)
+    for (auto& [key, finished] : m_finished)
     {
         auto* shard = loaded_shard(shard_of(key));
         if (shard == nullptr)
             continue;
         const auto* known = shard->find(key, wall_clock_minute());
-        if (known == nullptr || known->state == ended.state)
+        if (known == nullptr || known->state == finished.state)
             continue;
         auto changed = *known;
-        changed.state = ended.state;
+        changed.state = finished.state;
         shard->put(changed, wall_clock_minute());
     }
 }
@@ -337,32 +342,33 @@
 {
     claim_batch batch;
     batch.swap(m_pending);
-    put_ended();
-    const auto ended = m_ended;
-    claim_batch placed;
+    put_finished();
+    const auto finished = m_finished;
+    claim_batch added;
     for (const auto& each : batch)
-        if (place(each))
-            placed.push_back(each);
+        if (add_to_shard(each))
+            added.push_back(each);
     table_transaction transaction;
     for (auto& each : m_shards)
         if (each.second.is_changed())
             each.second.add_to(transaction);
     if (transaction.writes.empty())
     {
-        m_ended.clear();
+        m_finished.clear();
         return;
     }
     const auto outcome = m_store.transact(transaction);
     m_mesh.board.metrics.get("tillerhall_claim_writes_total").add();
     if (outcome && outcome->committed)
-        for (const auto& each : ended)
-            if (const auto now = m_ended.find(each.first);
-                now != m_ended.end() && now->second.state == each.second.state)
-                m_ended.erase(now);
-    after_write(std::move(placed), outcome);
+        for (const auto& each : finished)
+            if (const auto now = m_finished.find(each.first);
+                now != m_finished.end() &&
+                now->second.state == each.second.state)
+                m_finished.erase(now);
+    after_write(std::move(added), outcome);
 }
 
-void claim_controller::after_write(claim_batch placed,
+void claim_controller::after_write(claim_batch added,
                                    const result<commit_outcome>& outcome)
 {
     if (outcome && outcome->committed)
@@ -370,22 +376,22 @@
         for (auto& each : m_shards)
             each.second.stored(outcome->revision);
         m_mesh.board.metrics.get("tillerhall_claims_total")
-            .add(static_cast<std::int64_t>(placed.size()));
-        for (const auto& each : placed)
-            settle(*each, {claim_verdict::granted, std::nullopt});
+            .add(static_cast<std::int64_t>(added.size()));
+        for (const auto& each : added)
+            resolve(*each, {claim_verdict::granted, std::nullopt});
         return;
     }
-    // What memory holds may no longer be what the store holds.
+    // The loaded shards may no longer match the store.
     m_shards.clear();
-    const bool nothing_done =
+    const bool not_written =
         !outcome && outcome.reason().code() == error_code::unavailable;
-    for (const auto& each : placed)
+    for (const auto& each : added)
     {
-        if (nothing_done || ++each->attempts > most_attempts)
+        if (not_written || ++each->attempts > max_attempts)
         {
-            if (!nothing_done)
+            if (!not_written)
                 m_abandoned.insert(each->wanted.nonce);
-            settle(*each, {});
+            resolve(*each, {});
         }
         else
             m_pending.push_back(each);
