--- a/include/tillerhall/node/blackboard.hpp
+++ b/include/tillerhall/node/blackboard.hpp
@@ -1,4 +1,4 @@
-/** @file What the controllers of a node share. */
+/** @file State shared by the controllers of a node. */
 #pragma once
 
 #include "tillerhall/core/published.hpp"
@@ -21,19 +21,19 @@
 namespace tillerhall
 {
 
-/** Where a node stands in its life. */
+/** Lifecycle phase of a node. */
 enum class node_phase
 {
     joining,
     ready,
-    resuming, ///< after a pause, until it has heard the present
-    leaving,  ///< told to stop; what comes is still served
-    ending    ///< only what runs is finished; what comes is refused
+    resuming, ///< after a pause, until its state is up to date again
+    leaving,  ///< stop requested; new calls are still served
+    ending    ///< running calls are finished; new calls are refused
 };
 
 std::string_view name_of(node_phase phase) noexcept;
 
-/** @return whether a node in @p phase was told to stop. */
+/** Returns true if a node in @p phase has been asked to stop. */
 inline bool is_stopping(node_phase phase) noexcept
 {
     return phase >= node_phase::leaving;
@@ -41,13 +41,13 @@
 
 /**
  * Immutable views, counters and the phase of one node. Controllers on the
- * first worker write the views; any worker reads them.
+ * first worker publish the views; any worker reads them.
  * Lock order: each member locks only itself, as a leaf.
  */
 struct blackboard
 {
     published<route_view> routes{route_view_ptr(new route_view)};
-    /** Routes followed in a feed; empty where the table leads calls. */
+    /** Routes read from a feed; empty where calls are routed by the table. */
     published<call_routes> call_map{call_routes_ptr(new call_routes)};
     published<service_targets> targets{
         service_targets_ptr(new service_targets)};
@@ -57,12 +57,13 @@
     std::atomic<node_phase> phase{node_phase::joining};
     pulse control;
     std::atomic<std::int64_t> calls_in_flight{0};
-    /** Wall clock when the current version was swapped in, microseconds. */
+    /** Wall clock when the current version took effect, in microseconds. */
     std::atomic<std::int64_t> applied_us{0};
-    /** Wall clock when it was accepted, as its accepter wrote. */
+    /** Wall clock of the accepting node when it was accepted, in
+     * microseconds. */
     std::atomic<std::int64_t> accepted_us{0};
 
-    /** @return whether calls may be taken and passed on now. */
+    /** Returns true if calls may be accepted and forwarded now. */
     bool may_take_calls() const noexcept
     {
         return phase == node_phase::ready && !control.was_paused();
