--- a/include/tillerhall/node/mesh_node.hpp
+++ b/include/tillerhall/node/mesh_node.hpp
@@ -1,4 +1,4 @@
-/** @file A node whose calls are led by routes that it follows in a store. */
+/** @file A node that routes calls by rows that it follows in a store. */
 #pragma once
 
 #include "tillerhall/control/rollout_source.hpp"
@@ -17,51 +17,51 @@
 
 class worker;
 
-/** What an adapter brings to a node: the platform's names and its store. */
+/** Platform-specific parts of a node: names, decoders and the store. */
 struct mesh_adapter
 {
     wire_names names;
     route_source routes;
     rollout_source rollouts;
 
-    /** @return the failure domain that a row of the routes' table orders to
-     * drain, or nothing. */
+    /** Returns the failure domain that a row of the routes' table orders to be
+     * drained, or nothing. */
     std::function<std::optional<std::string>(const stored_row&)> drained_domain;
 
-    /** Opens the store, for fibers of the worker. */
+    /** Opens the store for use by fibers of the worker. */
     std::function<std::unique_ptr<row_store>(worker&, const settings&)>
         open_store;
 
-    /** @return nothing if the request is no report; else it, or what is
-     * wrong with it. */
+    /** Returns nothing if the request is not a report, else the decoded report
+     * or the error. */
     std::function<std::optional<result<target_report>>(const http_request&)>
         read_report;
 
-    /** Path of the check whether a node takes calls. */
+    /** Path of the readiness check. */
     std::string ready_path = "/ready";
 
-    /** Without which operators change nothing; empty refuses all changes. */
+    /** Bearer token required for changes; if empty, all are refused. */
     std::string operator_token;
 
     /** Reads the settings again after SIGHUP. */
     std::function<settings_outcome()> reload;
 };
 
-/** Everything a process beside a target is, where routes are followed. */
+/** The process that runs next to a target: composes its controllers. */
 class mesh_node
 {
 public:
     mesh_node(settings config, mesh_adapter adapter);
     ~mesh_node();
 
-    /** Binds all addresses. @return why one could not be bound. */
+    /** Binds all addresses. @return the error if one cannot be bound */
     result<void> open();
 
-    /** @return the settings with the ports that were bound. */
+    /** Returns the settings with the bound ports filled in. */
     const settings& config() const noexcept;
 
-    /** Runs until a planned stop is done; returns the exit code. The caller
-     * must leave the process without destroying waiting fibers. */
+    /** Runs until a planned stop is complete and returns the exit code. The
+     * caller must exit the process without destroying waiting fibers. */
     int run();
 
 private:
--- a/src/node/mesh_node.cpp
+++ b/src/node/mesh_node.cpp
@@ -22,26 +22,26 @@
 namespace
 {
 
-// Readiness is asked each second and a node is taken out after two refusals;
-// clients come until then, and longer where few nodes of a domain are left.
-constexpr milliseconds serve_while_leaving(3'000);
-// After the last call that was taken, so that its refusals get through.
-constexpr milliseconds least_ending(200);
-// What is left of the grace for the last answers to get through.
+// Readiness is checked each second and a node is removed after two failed
+// checks; until then it still receives calls.
+constexpr milliseconds max_leaving_time(3'000);
+// Time after serving ends, so that the last refusals are delivered.
+constexpr milliseconds min_ending(200);
+// Part of the grace period that is reserved for delivering the last answers.
 constexpr milliseconds stop_margin(600);
-// Of that margin, for clients to take the end of a call that was not answered.
-constexpr milliseconds last_answers(200);
-constexpr milliseconds drain_check(50);
-// Of a short grace this part at most is for serving what comes.
-constexpr int serve_part = 3;
-constexpr int serve_whole = 5;
-// Between nodes nothing bounds a call but its own deadline.
+// Part of that margin for the responses to calls that are ended unanswered.
+constexpr milliseconds last_answers_wait(200);
+constexpr milliseconds poll_interval(50);
+// Largest share of the grace period in which new calls are served: 3/5.
+constexpr int serving_share_numerator = 3;
+constexpr int serving_share_denominator = 5;
+// Calls between nodes are limited by their own deadlines.
 constexpr std::size_t peer_head_bytes = 64 * 1024;
 constexpr std::size_t peer_body_bytes = 128 * 1024 * 1024;
 constexpr std::chrono::minutes peer_idle_timeout(5);
 constexpr milliseconds peer_head_timeout(10'000);
 
-entry_settings entry_of(const settings& config)
+entry_settings entry_settings_of(const settings& config)
 {
     entry_settings made;
     made.own = config.advertise_rpc;
@@ -65,27 +65,27 @@
 
 struct mesh_node::parts
 {
-    parts(settings given, mesh_adapter brought)
-        : config(std::move(given))
-        , adapter(std::move(brought))
+    parts(settings node_settings, mesh_adapter platform_adapter)
+        : config(std::move(node_settings))
+        , adapter(std::move(platform_adapter))
         , board_targets(**find_policy("least_time"), entropy_seed())
     {
     }
 
     result<void> open()
     {
-        const std::array wanted{std::pair{&callers, &config.caller},
-                                std::pair{&peers, &config.peer},
-                                std::pair{&rpc, &config.rpc},
-                                std::pair{&reports, &config.operators},
-                                std::pair{&readiness, &config.ready}};
-        for (const auto& [opened, at] : wanted)
+        const std::array bindings{std::pair{&callers, &config.caller},
+                                  std::pair{&peers, &config.peer},
+                                  std::pair{&rpc, &config.rpc},
+                                  std::pair{&reports, &config.operators},
+                                  std::pair{&readiness, &config.ready}};
+        for (const auto& [destination, bound_address] : bindings)
         {
-            auto made = listener::open(on, *at);
-            if (!made)
-                return made.reason();
-            *opened = std::move(*made);
-            *at = (*opened)->local(); // a port of 0 is now known
+            auto opened = listener::open(main_worker, *bound_address);
+            if (!opened)
+                return opened.reason();
+            *destination = std::move(*opened);
+            *bound_address = (*destination)->local(); // resolves port 0
         }
         if (config.advertise_rpc.port == 0)
             config.advertise_rpc = config.rpc;
@@ -96,10 +96,10 @@
 
     void compose()
     {
-        entry_config = entry_of(config);
-        store = adapter.open_store(on, config);
-        mesh = std::make_unique<mesh_state>(config, self_record(config), on,
-                                            board);
+        entry_config = entry_settings_of(config);
+        store = adapter.open_store(main_worker, config);
+        mesh = std::make_unique<mesh_state>(config, self_record(config),
+                                            main_worker, board);
         tables = std::make_unique<distribution_controller>(*mesh);
         membership = std::make_unique<membership_controller>(*mesh, *tables);
         routes =
@@ -111,14 +111,17 @@
                                }});
         owner = std::make_unique<target_owner>(adapter.names, config.service,
                                                config.domain, board, targets,
-                                               on, config.rpc.ip);
+                                               main_worker, config.rpc.ip);
         reporter = std::make_unique<report_controller>(
             *mesh, *membership, *directory, targets, *owner);
         entry = std::make_unique<call_entry>(
             entry_config, adapter.names, board, board_targets, *owner, quotas,
-            on,
-            [this](const address& lost)
-            { on.spawn([this, lost] { membership->connect_failed(lost); }); });
+            main_worker,
+            [this](const address& unreachable)
+            {
+                main_worker.spawn([this, unreachable]
+                                  { membership->connect_failed(unreachable); });
+            });
         quota_counts = std::make_unique<quota_controller>(*mesh, quotas);
         compose_drains();
         compose_rollouts();
@@ -158,8 +161,8 @@
     void compose_drains()
     {
         drains = std::make_unique<drain_book>(*mesh, adapter.drained_domain);
-        drains->on_change([this](const domain_drains& before)
-                          { drains_changed(before); });
+        drains->on_change([this](const domain_drains& previous)
+                          { drains_changed(previous); });
         routes->on_drained(
             [this](const std::set<std::string>& domains, std::uint64_t revision)
             { drains->heard(domains, revision); });
@@ -194,11 +197,14 @@
     void start()
     {
         callers->start_taking(
-            [this](std::shared_ptr<tcp_stream> stream)
-            { call_session::serve(on, std::move(stream), client_host); });
+            [this](std::shared_ptr<tcp_stream> stream) {
+                call_session::serve(main_worker, std::move(stream),
+                                    client_host);
+            });
         peers->start_taking(
-            [this](std::shared_ptr<tcp_stream> stream)
-            { call_session::serve(on, std::move(stream), peer_host); });
+            [this](std::shared_ptr<tcp_stream> stream) {
+                call_session::serve(main_worker, std::move(stream), peer_host);
+            });
         rpc->start([this](tcp_stream& stream) { mesh->server.serve(stream); });
         reports->start(
             [this](tcp_stream& stream)
@@ -219,9 +225,9 @@
         decider->start();
         run_reporter->start();
         quota_counts->start();
-        on.spawn([this] { become_ready(); });
-        on.spawn([this] { wait_for_stop(); });
-        on.spawn([this] { wait_for_reload(); });
+        main_worker.spawn([this] { become_ready(); });
+        main_worker.spawn([this] { wait_for_stop(); });
+        main_worker.spawn([this] { wait_for_reload(); });
     }
 
     void publish_targets()
@@ -230,10 +236,10 @@
             mesh->members, *board.rollouts.get(), *board.drains.get()));
     }
 
-    void drains_changed(const domain_drains& before)
+    void drains_changed(const domain_drains& previous)
     {
         const auto& own = config.domain;
-        if (before.contains(own) && !board.drains.get()->contains(own))
+        if (previous.contains(own) && !board.drains.get()->contains(own))
             targets.suppose_cold(
                 board.call_map.get()->terms_of(config.service).cold_for,
                 steady_clock::now());
@@ -250,14 +256,14 @@
     void members_loaded()
     {
         reporter->marks_loaded();
-        // Readiness follows at once, so the targets must be there by then.
+        // The targets must be published before the node becomes ready.
         publish_members();
     }
 
     void become_ready()
     {
         while (!routes->known() || !directory->is_loaded())
-            sleep_for(on.io(), drain_check);
+            sleep_for(main_worker.io(), poll_interval);
         auto joining = node_phase::joining;
         if (board.phase.compare_exchange_strong(joining, node_phase::ready))
             board.decisions.note("ready", config.advertise_rpc.text(),
@@ -302,7 +308,7 @@
 
     void wait_for_reload()
     {
-        boost::asio::signal_set signals(on.io(), SIGHUP);
+        boost::asio::signal_set signals(main_worker.io(), SIGHUP);
         while (true)
         {
             boost::system::error_code failed;
@@ -319,75 +325,78 @@
                                  problem.message());
         if (!outcome.problems.empty())
             return;
-        entry_config.budget = entry_of(outcome.read).budget;
+        entry_config.budget = entry_settings_of(outcome.read).budget;
         board.decisions.note("settings_reloaded", "reload",
-                             "limits of second sends taken over; addresses "
+                             "retry limits reloaded; addresses "
                              "hold until the next start");
     }
 
     void wait_for_stop()
     {
-        boost::asio::signal_set signals(on.io(), SIGTERM, SIGINT);
+        boost::asio::signal_set signals(main_worker.io(), SIGTERM, SIGINT);
         boost::system::error_code failed;
         signals.async_wait(await{failed});
         planned_stop();
     }
 
-    /** @return calls that came and whose answers are not out; an answer that
-     * waits for the link is cut if the process ends before. */
-    std::int64_t calls_here() const
+    /** Returns the number of calls whose answers are not fully sent,
+     * including answers that wait for the link. */
+    std::int64_t unanswered_calls() const
     {
         return client_host.unanswered + peer_host.unanswered;
     }
 
-    /** A client whose call outlasts the grace gets an answer, not a cut. */
-    void end_last_calls()
+    /** Answers the calls that outlast the grace period, so that their
+     * connections are not cut. */
+    void end_remaining_calls()
     {
-        if (calls_here() == 0)
+        if (unanswered_calls() == 0)
             return;
         board.decisions.note("calls_ended", config.advertise_rpc.text(),
                              "the grace is over",
-                             {{"in_flight", calls_here()}});
+                             {{"in_flight", unanswered_calls()}});
         entry->end_calls();
-        sleep_for(on.io(), last_answers);
+        sleep_for(main_worker.io(), last_answers_wait);
     }
 
     void planned_stop()
     {
         board.phase = node_phase::leaving;
         board.decisions.note("leaving", config.advertise_rpc.text(),
-                             "planned stop", {{"in_flight", calls_here()}});
+                             "planned stop",
+                             {{"in_flight", unanswered_calls()}});
         auto self = mesh->members.self();
         self.state = member_state::leaving;
         membership->announce_self(self);
         directory->own_record_changed();
-        const auto begin = steady_clock::now();
-        const auto last = begin +
-                          milliseconds(static_cast<std::int64_t>(
-                              config.stop_grace_s * 1000)) -
-                          stop_margin;
+        const auto start_time = steady_clock::now();
+        const auto deadline = start_time +
+                              milliseconds(static_cast<std::int64_t>(
+                                  config.stop_grace_s * 1000)) -
+                              stop_margin;
         const auto serve_until = std::min<time_point>(
-            begin + serve_while_leaving,
-            begin + (last - begin) * serve_part / serve_whole);
+            start_time + max_leaving_time,
+            start_time + (deadline - start_time) * serving_share_numerator /
+                             serving_share_denominator);
         while (steady_clock::now() < serve_until)
-            sleep_for(on.io(), drain_check);
+            sleep_for(main_worker.io(), poll_interval);
         board.phase = node_phase::ending;
-        while (steady_clock::now() < serve_until + least_ending ||
-               (calls_here() > 0 && steady_clock::now() < last))
-            sleep_for(on.io(), drain_check);
-        end_last_calls();
+        while (steady_clock::now() < serve_until + min_ending ||
+               (unanswered_calls() > 0 && steady_clock::now() < deadline))
+            sleep_for(main_worker.io(), poll_interval);
+        end_remaining_calls();
         board.decisions.note("stopped", config.advertise_rpc.text(),
-                             calls_here() == 0 ? "all calls finished"
-                                               : "the grace is over",
-                             {{"cut", calls_here()}});
-        on.stop();
+                             unanswered_calls() == 0 ? "all calls finished"
+                                                     : "the grace is over",
+                             {{"cut", unanswered_calls()}});
+        main_worker.stop();
     }
 
     settings config;
     mesh_adapter adapter;
     entry_settings entry_config;
-    worker on;
-    link_turns outgoing{on.io(), config.link_mbps};
+    worker main_worker;
+    link_turns outgoing{main_worker.io(), config.link_mbps};
     blackboard board;
     target_board board_targets;
     target_register targets;
@@ -439,7 +448,7 @@
 {
     m_parts->compose();
     m_parts->start();
-    m_parts->on.run();
+    m_parts->main_worker.run();
     return 0;
 }
 
