--- a/include/tillerhall/node/node.hpp
+++ b/include/tillerhall/node/node.hpp
@@ -1,4 +1,4 @@
-/** @file One node: its workers, controllers and proxies, composed. */
+/** @file Composes a node of its workers, controllers and proxies. */
 #pragma once
 
 #include "tillerhall/core/result.hpp"
@@ -10,22 +10,23 @@
 namespace tillerhall
 {
 
-/** Everything a `tillerd` process is. */
+/** The node that a `tillerd` process runs. */
 class node
 {
 public:
-    /** @param token the operators' bearer token; empty refuses changes */
+    /** @param token the operators' bearer token; if empty, changes are
+     * refused */
     node(settings config, std::string token);
     ~node();
 
-    /** Binds all addresses. @return why one could not be bound. */
+    /** Binds all addresses. @return the error if one cannot be bound */
     result<void> open();
 
-    /** @return the settings with the ports that were bound. */
+    /** Returns the settings with the bound ports filled in. */
     const settings& config() const noexcept;
 
-    /** Runs until a planned stop is done; returns the exit code. The caller
-     * must leave the process without destroying waiting fibers. */
+    /** Runs until a planned stop is complete and returns the exit code. The
+     * caller must exit the process without destroying waiting fibers. */
     int run();
 
 private:
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -22,9 +22,9 @@
 namespace
 {
 
-// News of leaving needs a moment to reach everyone before this node goes.
-constexpr milliseconds least_drain(300);
-constexpr milliseconds drain_check(20);
+// Time for the announcement of leaving to reach all members.
+constexpr milliseconds min_drain(300);
+constexpr milliseconds poll_interval(20);
 
 admission_limits limits_for(const settings& config, const route_view& routes)
 {
@@ -41,27 +41,27 @@
     return limits;
 }
 
-/** One worker and what carries calls on it. */
+/** One worker with its listeners and proxies. */
 struct call_worker
 {
-    worker runs;
+    worker event_loop;
     std::unique_ptr<listener> callers;
     std::unique_ptr<listener> peers;
     std::unique_ptr<owner_proxy> owner;
     std::unique_ptr<entry_proxy> entry;
 };
 
-/** The control plane, on the first worker. */
+/** The controllers, which run on the first worker. */
 struct control_plane
 {
     control_plane(const settings& config,
                   blackboard& board,
-                  worker& on,
+                  worker& first_worker,
                   const std::string& token)
-        : mesh(config, self_record(config), on, board)
-        , tables_service(connection(config.tables, config, board, on))
-        , objects(connection(config.objects, config, board, on))
-        , hosts(connection(config.hosts, config, board, on))
+        : mesh(config, self_record(config), first_worker, board)
+        , tables_service(connection(config.tables, config, board, first_worker))
+        , objects(connection(config.objects, config, board, first_worker))
+        , hosts(connection(config.hosts, config, board, first_worker))
         , store(tables_service, objects)
         , tables(mesh)
         , membership(mesh, tables)
@@ -77,10 +77,10 @@
     static platform_connection connection(const address& server,
                                           const settings& config,
                                           blackboard& board,
-                                          worker& on)
+                                          worker& first_worker)
     {
-        return {on.io(), server, milliseconds(config.platform_timeout_ms),
-                board.traffic};
+        return {first_worker.io(), server,
+                milliseconds(config.platform_timeout_ms), board.traffic};
     }
 
     mesh_state mesh;
@@ -102,30 +102,30 @@
 
 struct node::parts
 {
-    parts(settings given, std::string secret)
-        : config(std::move(given))
-        , token(std::move(secret))
+    parts(settings node_settings, std::string operator_token)
+        : config(std::move(node_settings))
+        , token(std::move(operator_token))
         , targets(**find_policy(config.policy), entropy_seed())
-        , places(limits_for(config, *board.routes.get()))
+        , admission_gate(limits_for(config, *board.routes.get()))
     {
     }
 
-    worker& first() { return workers.front()->runs; }
+    worker& first() { return workers.front()->event_loop; }
 
     result<void> open_call_listeners()
     {
         for (std::int64_t i = 0; i < config.workers; ++i)
         {
             auto made = std::make_unique<call_worker>();
-            auto callers = listener::open(made->runs, config.caller);
+            auto callers = listener::open(made->event_loop, config.caller);
             if (!callers)
                 return callers.reason();
-            auto peers = listener::open(made->runs, config.peer);
+            auto peers = listener::open(made->event_loop, config.peer);
             if (!peers)
                 return peers.reason();
             made->callers = std::move(*callers);
             made->peers = std::move(*peers);
-            config.caller = made->callers->local(); // a port of 0 is now known
+            config.caller = made->callers->local(); // resolves port 0
             config.peer = made->peers->local();
             workers.push_back(std::move(made));
         }
@@ -161,36 +161,40 @@
         control->burn.add_methods();
         control->mesh.routes_changed = [this](const route_view& routes)
         {
-            places.set_limits(limits_for(config, routes));
+            admission_gate.set_limits(limits_for(config, routes));
             publish_suspects(board, control->mesh.members);
         };
-        ends.set_news({[this](const target_end& end) { tell(end); },
-                       [this](const good_run& run) { tell(run); }});
+        crashes.set_news({[this](const target_end& end) { tell(end); },
+                          [this](const good_run& run) { tell(run); }});
         for (auto& each : workers)
             compose_calls(*each);
     }
 
-    template <class News>
-    void tell(const News& news)
+    template <class Evidence>
+    void tell(const Evidence& evidence)
     {
-        first().spawn([this, news] { control->target.tell(news); });
+        first().spawn([this, evidence] { control->target.tell(evidence); });
     }
 
-    void compose_calls(call_worker& on)
+    void compose_calls(call_worker& serving_worker)
     {
-        on.owner =
-            std::make_unique<owner_proxy>(config, board, places, ends, on.runs);
-        on.entry = std::make_unique<entry_proxy>(
-            config, board, targets, *on.owner, on.runs, first(),
-            control->claims,
-            [this](const address& lost) {
-                first().spawn([this, lost]
-                              { control->membership.connect_failed(lost); });
+        serving_worker.owner = std::make_unique<owner_proxy>(
+            config, board, admission_gate, crashes, serving_worker.event_loop);
+        serving_worker.entry = std::make_unique<entry_proxy>(
+            config, board, targets, *serving_worker.owner,
+            serving_worker.event_loop, first(), control->claims,
+            [this](const address& unreachable)
+            {
+                first().spawn(
+                    [this, unreachable]
+                    { control->membership.connect_failed(unreachable); });
             });
-        on.callers->start([entry = on.entry.get()](tcp_stream& stream)
-                          { entry->serve(stream); });
-        on.peers->start([owner = on.owner.get()](tcp_stream& stream)
-                        { owner->serve(stream); });
+        serving_worker.callers->start(
+            [entry = serving_worker.entry.get()](tcp_stream& stream)
+            { entry->serve(stream); });
+        serving_worker.peers->start(
+            [owner = serving_worker.owner.get()](tcp_stream& stream)
+            { owner->serve(stream); });
     }
 
     void start_control()
@@ -231,26 +235,26 @@
                              {{"in_flight", board.calls_in_flight.load()}});
         control->membership.announce_self(member_state::leaving,
                                           target_state::draining);
-        const auto begin = steady_clock::now();
-        const auto last = begin + milliseconds(config.drain_ms);
-        while (steady_clock::now() < begin + least_drain ||
-               (board.calls_in_flight > 0 && steady_clock::now() < last))
-            sleep_for(first().io(), drain_check);
+        const auto start_time = steady_clock::now();
+        const auto deadline = start_time + milliseconds(config.drain_ms);
+        while (steady_clock::now() < start_time + min_drain ||
+               (board.calls_in_flight > 0 && steady_clock::now() < deadline))
+            sleep_for(first().io(), poll_interval);
         const auto cut = board.calls_in_flight.load();
         board.decisions.note("stopped", config.advertise_rpc.text(),
                              cut == 0 ? "all calls finished"
                                       : "the limit of drain_ms was reached",
                              {{"cut", cut}});
         for (auto& each : workers)
-            each->runs.stop();
+            each->event_loop.stop();
     }
 
     settings config;
     std::string token;
     blackboard board;
     target_board targets;
-    call_admission places;
-    end_register ends;
+    call_admission admission_gate;
+    end_register crashes;
     std::vector<std::unique_ptr<call_worker>> workers;
     std::unique_ptr<listener> rpc;
     std::unique_ptr<listener> operators;
@@ -280,10 +284,12 @@
 {
     m_parts->compose();
     m_parts->start_control();
-    // These threads are left to the end of the process: ending one would wait
-    // for its fibers, most of which wait for peers and callers.
+    // Detached: joining a thread would wait for its fibers, most of which wait
+    // for peers and callers.
     for (std::size_t i = 1; i < m_parts->workers.size(); ++i)
-        std::thread([on = &m_parts->workers[i]->runs] { on->run(); }).detach();
+        std::thread([other = &m_parts->workers[i]->event_loop]
+                    { other->run(); })
+            .detach();
     m_parts->first().run();
     return 0;
 }
