--- a/include/tillerhall/node/burn_controller.hpp
+++ b/include/tillerhall/node/burn_controller.hpp
@@ -1,4 +1,4 @@
-/** @file Gathers service-level burn from all nodes on request. */
+/** @file Collects error-budget burn rates from all nodes on request. */
 #pragma once
 
 #include "tillerhall/node/mesh_state.hpp"
@@ -11,7 +11,8 @@
 
 struct key_range;
 
-/** Answers with this node's burn, and gathers that of all. First worker. */
+/** Reports this node's error-budget burn, and collects that of all nodes. Runs
+ * on the first worker. */
 class burn_controller
 {
 public:
@@ -22,7 +23,7 @@
 
     void add_methods();
 
-    /** @return the burn that all live nodes saw, as an operator is shown. */
+    /** Returns the burn of all live nodes as JSON for operators. */
     boost::json::object report();
 
 private:
--- a/src/node/burn_controller.cpp
+++ b/src/node/burn_controller.cpp
@@ -13,7 +13,9 @@
 
 constexpr const char* burn_method = "burn";
 
-/** An alarm sounds when both windows burn faster (SRE Workbook, chapter 5). */
+/** Multiwindow burn-rate alert (SRE Workbook, chapter 5): raised while the
+ * burn rate of both windows is above `rate`. Windows are indexes into
+ * `burn_windows`. */
 struct burn_alarm
 {
     std::string_view name;
@@ -77,19 +79,19 @@
 burn_report burn_controller::gather(const key_range& range,
                                     std::size_t& unreachable)
 {
-    burn_report sum;
+    burn_report total;
     for (const auto& each : m_mesh.board.burn.entries(wall_clock_minute()))
-        add_to(sum, each);
+        add_to(total, each);
     ask_range(
         m_mesh, {burn_method, traffic_kind::watch, {}}, range,
         [&](const json::object& answer)
         {
             for (const auto& each : answer.at("b").as_array())
-                add_to(sum, entry_from(each.as_array()));
+                add_to(total, entry_from(each.as_array()));
             unreachable += json::value_to<std::size_t>(answer.at("x"));
         },
         [&](const key_range&) { ++unreachable; });
-    return sum;
+    return total;
 }
 
 json::object burn_controller::on_burn(const json::object& params)
@@ -107,19 +109,18 @@
 
 json::object burn_controller::describe(const burn_entry& entry) const
 {
-    const auto& goals = m_mesh.config.objectives;
-    const auto found = goals.find(entry.key.service);
-    const auto goal = found == goals.end() ? objective{} : found->second;
+    const auto& objectives = m_mesh.config.objectives;
+    const auto found = objectives.find(entry.key.service);
+    const auto slo = found == objectives.end() ? objective{} : found->second;
     json::object rates;
     for (std::size_t i = 0; i < burn_windows.size(); ++i)
-        rates[burn_windows[i].name] =
-            burn_rate(entry.windows[i], goal.budget());
+        rates[burn_windows[i].name] = burn_rate(entry.windows[i], slo.budget());
     std::string alarm = "none";
     for (const auto& each : alarms)
         if (alarm == "none" &&
-            burn_rate(entry.windows[each.short_window], goal.budget()) >
+            burn_rate(entry.windows[each.short_window], slo.budget()) >
                 each.rate &&
-            burn_rate(entry.windows[each.long_window], goal.budget()) >
+            burn_rate(entry.windows[each.long_window], slo.budget()) >
                 each.rate)
             alarm = each.name;
     latency_histogram latencies;
@@ -127,12 +128,12 @@
     const auto& longest = entry.windows[longest_window];
     return {{"service", entry.key.service},
             {"place", entry.key.place},
-            {"answered_percent", goal.answered_percent},
-            {"within_ms", goal.within_ms},
+            {"answered_percent", slo.answered_percent},
+            {"within_ms", slo.within_ms},
             {"calls", longest.calls},
             {"bad", longest.bad},
             {"burn", std::move(rates)},
-            {"budget_left", 1 - burn_rate(longest, goal.budget())},
+            {"budget_left", 1 - burn_rate(longest, slo.budget())},
             {"alarm", alarm},
             {"began_minutes_ago", entry.began_minutes_ago},
             {"began_version", entry.began_version},
