--- a/include/tillerhall/node/call_log.hpp
+++ b/include/tillerhall/node/call_log.hpp
@@ -1,4 +1,4 @@
-/** @file What this node did with the last calls it took, by request id. */
+/** @file Log of this node's recent calls, by request id. */
 #pragma once
 
 #include "tillerhall/core/time.hpp"
@@ -12,37 +12,37 @@
 namespace tillerhall
 {
 
-/** One target tried for a call. */
+/** One attempt to run a call at a target. */
 struct call_attempt
 {
     std::string node; ///< control address of the owner
     std::string place;
-    std::string end;    ///< how it ended
-    std::string detail; ///< why, unless answered
+    std::string end;    ///< outcome
+    std::string detail; ///< reason, unless answered
     double took_ms = 0;
 };
 
-/** The account of one call. */
+/** A finished call with its attempts. */
 struct call_record
 {
     std::string request_id;
     std::string service;
     std::string end;
-    std::int64_t time_us = 0;  ///< wall clock at its end
-    std::uint64_t version = 0; ///< table in force
+    std::int64_t time_us = 0;  ///< wall clock at its end, microseconds
+    std::uint64_t version = 0; ///< table version in force
     double took_ms = 0;
     std::vector<call_attempt> attempts;
 };
 
-/** The last calls, bounded. Safe for threads. Lock order: a leaf. */
+/** Bounded log of the most recent calls. Thread-safe. Lock order: leaf. */
 class call_log
 {
 public:
-    static constexpr std::size_t most_kept = 2048;
+    static constexpr std::size_t max_records = 2048;
 
     void note(call_record record);
 
-    /** @return the accounts of calls with @p request_id, oldest first. */
+    /** Returns the calls with @p request_id, oldest first. */
     std::vector<call_record> find(const std::string& request_id) const;
 
 private:
--- a/src/node/call_log.cpp
+++ b/src/node/call_log.cpp
@@ -9,7 +9,7 @@
 {
     const std::lock_guard lock(m_mutex);
     m_records.push_back(std::move(record));
-    if (m_records.size() > most_kept)
+    if (m_records.size() > max_records)
         m_records.pop_front();
 }
 
