--- a/include/tillerhall/node/operator_api.hpp
+++ b/include/tillerhall/node/operator_api.hpp
@@ -11,12 +11,12 @@
 namespace tillerhall
 {
 
-/** Answers operators; runs on the first worker. */
+/** Serves the operators' requests. Runs on the first worker. */
 class operator_api
 {
 public:
-    /** @param token bearer token for whatever changes anything; empty
-     * refuses all of that. */
+    /** @param token bearer token required for changes; if empty, all changes
+     * are refused */
     operator_api(mesh_state& mesh,
                  distribution_controller& tables,
                  accept_controller& accepts,
@@ -33,7 +33,7 @@
         std::string_view method;
         std::string_view path;
         handler handle;
-        bool guarded;
+        bool needs_token;
     };
 
     static std::span<const route> routes();
@@ -50,7 +50,7 @@
     http_response members(const http_request& request);
     http_response journal_entries(const http_request& request);
     http_response burn_report(const http_request& request);
-    http_response call_account(const http_request& request);
+    http_response call_records(const http_request& request);
 
     bool is_authorized(const http_request& request) const;
     void refresh_gauges();
--- a/include/tillerhall/node/operator_json.hpp
+++ b/include/tillerhall/node/operator_json.hpp
@@ -1,4 +1,4 @@
-/** @file How the operator API shows things as JSON. */
+/** @file JSON representations of the operator API. */
 #pragma once
 
 #include "tillerhall/http/message.hpp"
@@ -12,32 +12,33 @@
 namespace tillerhall
 {
 
-/** @return the HTTP status for a failure of this kind. */
+/** Returns the HTTP status for @p code. */
 unsigned status_of(error_code code);
 
-boost::json::object to_json(const error& shown);
+boost::json::object to_json(const error& value);
 boost::json::array to_json(const std::vector<error>& problems);
 boost::json::object to_json(const version_record& record);
 boost::json::object to_json(const merge_conflict& conflict);
-boost::json::object to_json(const call_record& account);
+boost::json::object to_json(const call_record& record);
 boost::json::object to_json(const journal_entry& entry);
 
-/** Shows a member as operators know it, not as it travels. */
-boost::json::object to_operator_json(const member& shown);
+/** Returns a member as shown to operators, unlike the wire format. */
+boost::json::object to_operator_json(const member& value);
 
-/** @return control bytes in and out, by kind. */
+/** Returns the control bytes received and sent, by kind. */
 boost::json::object to_json(const traffic_counters& traffic);
 
-/** @return a response with @p body, or one that tells of a failure. */
+/** Returns a response with the body @p body, or with the details of an error.
+ */
 http_response respond(unsigned status, const boost::json::value& body);
 http_response respond(const error& failed);
 http_response respond(const accept_outcome& outcome);
 
-/** @return routes in force that name a service or target not known here. */
+/** Returns the number of routes whose service or target is unknown. */
 std::int64_t orphan_routes(const route_view& routes,
                            const member_list& members);
 
-/** @return targets that take calls. */
+/** Returns the number of targets that take calls. */
 std::int64_t serving_targets(const member_list& members);
 
 } // namespace tillerhall
--- a/include/tillerhall/node/operator_token.hpp
+++ b/include/tillerhall/node/operator_token.hpp
@@ -1,4 +1,4 @@
-/** @file The secret by which operators may change things. */
+/** @file The bearer token that authorizes changes by operators. */
 #pragma once
 
 #include "tillerhall/http/message.hpp"
@@ -9,11 +9,11 @@
 namespace tillerhall
 {
 
-/** @return the token in the settings' file, or in TILLER_TOKEN; empty if there
- * is none, which refuses every change. */
+/** Returns the token from the settings' token file, else from TILLER_TOKEN. If
+ * empty, every change is refused. */
 result<std::string> read_operator_token(const settings& config);
 
-/** @return whether @p request brings @p token; never if that is empty. */
+/** Returns true if @p request carries @p token; false if that is empty. */
 bool brings_token(const http_request& request, const std::string& token);
 
 } // namespace tillerhall
--- a/src/node/operator_api.cpp
+++ b/src/node/operator_api.cpp
@@ -15,7 +15,7 @@
 namespace json = boost::json;
 
 constexpr std::size_t default_history = 20;
-constexpr std::size_t most_history = 1000;
+constexpr std::size_t max_history = 1000;
 
 json::object parse_body(const http_request& request, std::string& failed)
 {
@@ -37,7 +37,7 @@
                : std::string();
 }
 
-/** Reads a version number; 0 when it is absent, nothing when malformed. */
+/** Returns the version number, 0 if absent, or nothing if malformed. */
 std::optional<std::uint64_t> version_param(const http_request& request)
 {
     const auto text = request.param("version", "0");
@@ -73,7 +73,7 @@
 
 std::span<const operator_api::route> operator_api::routes()
 {
-    constexpr bool guarded = true;
+    constexpr bool needs_token = true;
     constexpr bool open = false;
     static const std::array table{
         route{"GET", "/ready", &operator_api::ready, open},
@@ -83,12 +83,12 @@
         route{"GET", "/v1/table", &operator_api::table, open},
         route{"GET", "/v1/history", &operator_api::history, open},
         route{"POST", "/v1/check", &operator_api::check, open},
-        route{"POST", "/v1/accept", &operator_api::accept, guarded},
+        route{"POST", "/v1/accept", &operator_api::accept, needs_token},
         route{"GET", "/v1/watch", &operator_api::watch, open},
         route{"GET", "/v1/members", &operator_api::members, open},
         route{"GET", "/v1/journal", &operator_api::journal_entries, open},
         route{"GET", "/v1/burn", &operator_api::burn_report, open},
-        route{"GET", "/v1/call", &operator_api::call_account, open},
+        route{"GET", "/v1/call", &operator_api::call_records, open},
     };
     return table;
 }
@@ -102,7 +102,7 @@
         return respond(error(error_code::not_found,
                              request.method + " " + request.path,
                              "docs/OPERATORS.md lists what there is"));
-    if (known->guarded && !is_authorized(request))
+    if (known->needs_token && !is_authorized(request))
         return respond(error(error_code::unauthorized,
                              request.path + " needs the operator token"));
     try
@@ -220,7 +220,7 @@
     if (!text.empty() && text.size() < 6 &&
         std::ranges::all_of(text, [](unsigned char c)
                             { return std::isdigit(c) != 0; }))
-        limit = std::clamp<std::size_t>(std::stoul(text), 1, most_history);
+        limit = std::clamp<std::size_t>(std::stoul(text), 1, max_history);
     const auto records = m_accepts.store().read_history(limit);
     if (!records)
         return respond(records.reason());
@@ -288,18 +288,18 @@
     auto version = version_param(request);
     if (!version)
         return respond(bad_version(request));
-    const bool newest = *version == 0;
-    if (newest)
+    const bool follows_newest = *version == 0;
+    if (follows_newest)
         version = m_tables.current()->version();
     auto report = m_tables.watch(*version);
-    if (newest && report.greatest_version > *version)
+    if (follows_newest && report.greatest_version > *version)
     {
-        // Others are ahead of this node: follow what they have.
+        // Other nodes have a newer version: watch that one.
         version = report.greatest_version;
         report = m_tables.watch(*version);
     }
     const auto live = m_mesh.members.live_count();
-    // Never claimed while a live member lags or went uncounted.
+    // False while any live member lags or was not counted.
     const bool in_force =
         report.at() == report.total() && report.total() >= live;
     json::object domains;
@@ -339,7 +339,7 @@
     return respond(200, m_burn.report());
 }
 
-http_response operator_api::call_account(const http_request& request)
+http_response operator_api::call_records(const http_request& request)
 {
     json::array list;
     for (const auto& each : m_mesh.board.calls.find(request.param("id")))
--- a/src/node/operator_json.cpp
+++ b/src/node/operator_json.cpp
@@ -47,11 +47,11 @@
     return found == status_table.end() ? 500 : found->status;
 }
 
-json::object to_json(const error& shown)
+json::object to_json(const error& value)
 {
-    return {{"error", name_of(shown.code())},
-            {"detail", shown.detail()},
-            {"remedy", shown.remedy()}};
+    return {{"error", name_of(value.code())},
+            {"detail", value.detail()},
+            {"remedy", value.remedy()}};
 }
 
 json::array to_json(const std::vector<error>& problems)
@@ -148,18 +148,18 @@
                                  { return takes_calls(*each.record); });
 }
 
-json::object to_operator_json(const member& shown)
-{
-    return {{"node", shown.rpc.text()},
-            {"caller", shown.caller.text()},
-            {"operators", shown.operators.text()},
-            {"region", shown.place.region},
-            {"domain", shown.place.domain},
-            {"service", shown.service},
-            {"target", shown.target.text()},
-            {"target_state", name_of(shown.target_is)},
-            {"state", name_of(shown.state)},
-            {"incarnation", shown.incarnation}};
+json::object to_operator_json(const member& value)
+{
+    return {{"node", value.rpc.text()},
+            {"caller", value.caller.text()},
+            {"operators", value.operators.text()},
+            {"region", value.place.region},
+            {"domain", value.place.domain},
+            {"service", value.service},
+            {"target", value.target.text()},
+            {"target_state", name_of(value.target_is)},
+            {"state", name_of(value.state)},
+            {"incarnation", value.incarnation}};
 }
 
 json::object to_json(const journal_entry& entry)
@@ -171,20 +171,19 @@
             {"figures", entry.figures}};
 }
 
-json::object to_json(const call_record& account)
+json::object to_json(const call_record& record)
 {
     json::array attempts;
-    for (const auto& tried : account.attempts)
-        attempts.push_back(json::object{{"node", tried.node},
-                                        {"place", tried.place},
-                                        {"end", tried.end},
-                                        {"detail", tried.detail},
-                                        {"took_ms", tried.took_ms}});
-    return {
-        {"time_us", account.time_us},     {"request_id", account.request_id},
-        {"service", account.service},     {"end", account.end},
-        {"version", account.version},     {"took_ms", account.took_ms},
-        {"attempts", std::move(attempts)}};
+    for (const auto& attempt : record.attempts)
+        attempts.push_back(json::object{{"node", attempt.node},
+                                        {"place", attempt.place},
+                                        {"end", attempt.end},
+                                        {"detail", attempt.detail},
+                                        {"took_ms", attempt.took_ms}});
+    return {{"time_us", record.time_us},      {"request_id", record.request_id},
+            {"service", record.service},      {"end", record.end},
+            {"version", record.version},      {"took_ms", record.took_ms},
+            {"attempts", std::move(attempts)}};
 }
 
 } // namespace tillerhall
--- a/src/node/operator_token.cpp
+++ b/src/node/operator_token.cpp
@@ -27,7 +27,7 @@
 {
     const auto expected = "Bearer " + token;
     const auto& given = request.authorization;
-    // Compared in constant time, so that answers do not leak the token.
+    // Compared in constant time to prevent timing attacks.
     return !token.empty() && given.size() == expected.size() &&
            CRYPTO_memcmp(given.data(), expected.data(), given.size()) == 0;
 }
