--- a/tests/integration/claims.cpp
+++ b/tests/integration/claims.cpp
@@ -1,4 +1,4 @@
-/** @file Keyed calls run at most once, whatever fails. */
+/** @file Calls with an idempotency key run at most once under faults. */
 #include "system.hpp"
 
 #include <csignal>
@@ -9,7 +9,7 @@
 namespace
 {
 
-cluster_options market()
+cluster_options four_node_options()
 {
     cluster_options options;
     options.placements = {{"oogstbeurs", "polder-a"},
@@ -31,7 +31,7 @@
     return made;
 }
 
-/** @return how often the targets ran any call. */
+/** Returns the number of runs of all calls at the targets. */
 std::int64_t total_runs(cluster& system)
 {
     std::int64_t sum = 0;
@@ -43,12 +43,12 @@
 
 } // namespace
 
-TEST_CASE("a repeat of a keyed call gets the kept answer, from any node")
+TEST_CASE("a repeated keyed call gets the stored answer from any node")
 {
     on_worker(
         [](worker& on)
         {
-            started_cluster system(on, market());
+            started_cluster system(on, four_node_options());
             caller first(on.io(), system.nodes()[0].caller);
             const auto sold = first.call(sale("first", "k1"));
             REQUIRE(sold.is_good());
@@ -67,12 +67,12 @@
         });
 }
 
-TEST_CASE("many callers with one key through all nodes at once: one run")
+TEST_CASE("concurrent calls with one key through all nodes run once")
 {
     on_worker(
         [](worker& on)
         {
-            started_cluster system(on, market());
+            started_cluster system(on, four_node_options());
             for (int round = 0; round < 5; ++round)
             {
                 const auto key = "race-" + std::to_string(round);
@@ -97,14 +97,14 @@
     on_worker(
         [](worker& on)
         {
-            started_cluster system(on, market());
+            started_cluster system(on, four_node_options());
             caller from(on.io(), system.nodes()[3].caller);
             system.set_platform({{"down", true}});
             const auto refused = from.call(sale("down", "k1"));
             CHECK(refused.status == 503);
             CHECK(refused.outcome == "not-run");
             CHECK(total_runs(system) == 0);
-            // Calls without a key, and what may be repeated, go on.
+            // Calls without a key and repeatable calls still succeed.
             CHECK(
                 from.call({"oogstbeurs", "plain", "POST", "/", "x"}).is_good());
             call_request read{"oogstbeurs", "read"};
@@ -117,12 +117,12 @@
         });
 }
 
-TEST_CASE("lost answers and failed writes of the store double nothing")
+TEST_CASE("lost answers and failed writes of the store cause no second run")
 {
     on_worker(
         [](worker& on)
         {
-            started_cluster system(on, market());
+            started_cluster system(on, four_node_options());
             caller from(on.io(), system.nodes()[3].caller);
             int good = 0;
             for (int i = 0; i < 8; ++i)
@@ -147,7 +147,7 @@
     on_worker(
         [](worker& on)
         {
-            started_cluster system(on, market());
+            started_cluster system(on, four_node_options());
             for (std::size_t i = 0; i < 3; ++i)
                 system.set_target(i, {{"reset_before_answer", 1}});
             caller from(on.io(), system.nodes()[3].caller);
@@ -159,20 +159,20 @@
         });
 }
 
-TEST_CASE("a holder that is paused and resumes doubles nothing")
+TEST_CASE("an entry node paused in a keyed call causes no second run")
 {
     on_worker(
         [](worker& on)
         {
-            started_cluster system(on, market());
-            call_outcome held;
-            std::vector<int> others;
+            started_cluster system(on, four_node_options());
+            call_outcome paused_call;
+            std::vector<int> other_statuses;
             run_parallel(
                 {[&]
                  {
                      caller from(on.io(), system.nodes()[3].caller);
                      auto made = sale("held", "k1", "1", "/?sleep_ms=600");
-                     held = from.call(made);
+                     paused_call = from.call(made);
                  },
                  [&]
                  {
@@ -183,14 +183,14 @@
                      {
                          auto made = sale("held", "k1", "1", "/?sleep_ms=600");
                          made.timeout = std::chrono::seconds(5);
-                         others.push_back(
+                         other_statuses.push_back(
                              static_cast<int>(other.call(made).status));
                          sleep_for(on.io(), milliseconds(500));
                      }
                      system.nodes()[3].runs.send(SIGCONT);
                  }});
-            // 409 while claimed, 503 when the paused node keeps that shard.
-            for (const auto status : others)
+            // 409 while claimed, 503 if the paused node coordinates the shard.
+            for (const auto status : other_statuses)
                 CHECK((status == 409 || status == 503));
             CHECK(total_runs(system) <= 1);
         });
@@ -201,12 +201,13 @@
     on_worker(
         [](worker& on)
         {
-            started_cluster system(on, market());
+            started_cluster system(on, four_node_options());
             {
                 caller from(on.io(), system.nodes()[3].caller);
                 REQUIRE(from.call(sale("before", "k1")).is_good());
             }
-            sleep_for(on.io(), milliseconds(1500)); // its end is written, too
+            // Until the result is written.
+            sleep_for(on.io(), milliseconds(1500));
             for (std::size_t i = 0; i < 4; ++i)
             {
                 REQUIRE(system.restart(i));
