--- a/tests/integration/calls.cpp
+++ b/tests/integration/calls.cpp
@@ -1,4 +1,5 @@
-/** @file Calls under faults: what callers are told against what really ran. */
+/** @file Calls under faults: the outcomes reported to callers compared with the
+ * runs at the targets. */
 #include "calls_support.hpp"
 
 #include <csignal>
@@ -7,7 +8,7 @@
 using namespace tillerhall;
 using namespace tillerhall::harness;
 
-TEST_CASE("a call whose connection is reset after it was passed runs once")
+TEST_CASE("a call whose connection is reset after forwarding runs once")
 {
     on_worker(
         [](worker& on)
@@ -33,7 +34,7 @@
             CHECK(unknown == 3);
             for (const auto& [id, count] : all_runs(system))
                 CHECK(count == 1);
-            // What may be repeated is, and the caller sees no fault.
+            // Repeatable calls are retried and succeed.
             for (std::size_t i = 0; i < 2; ++i)
                 system.set_target(i, {{"reset_before_answer", 1}});
             for (int i = 0; i < 10; ++i)
@@ -42,7 +43,7 @@
         });
 }
 
-TEST_CASE("an answer cut in the middle is never passed off as whole")
+TEST_CASE("a truncated answer is never returned as complete")
 {
     on_worker(
         [](worker& on)
@@ -64,7 +65,7 @@
         });
 }
 
-TEST_CASE("a call refused as not run did not run, and only then")
+TEST_CASE("exactly the calls that did not run are refused as not run")
 {
     on_worker(
         [](worker& on)
@@ -123,7 +124,7 @@
         });
 }
 
-TEST_CASE("a target that sheds by its published sign is tried elsewhere")
+TEST_CASE("a call shed with the not-run header is retried at other targets")
 {
     on_worker(
         [](worker& on)
@@ -142,7 +143,7 @@
         });
 }
 
-TEST_CASE("not run is not said when an earlier try may have run")
+TEST_CASE("a call is not reported as not run if an attempt may have run")
 {
     on_worker(
         [](worker& on)
@@ -156,17 +157,17 @@
             system.set_target(0, {{"reset_before_answer", 1000}});
             system.set_target(1, {{"shed", 1}});
             system.set_target(2, {{"shed", 1}});
-            std::map<std::string, std::string> told;
+            std::map<std::string, std::string> reported;
             for (int i = 0; i < 60; ++i)
             {
-                // A caller of its own each time: nothing learned is kept out.
+                // A new connection for each call.
                 const auto id = "mixed-" + std::to_string(i);
                 caller from(on.io(), system.nodes()[i % 4].caller);
-                told[id] = from.call({"oogstbeurs", id}).outcome;
+                reported[id] = from.call({"oogstbeurs", id}).outcome;
             }
             const auto runs = all_runs(system);
             CHECK_FALSE(runs.empty());
-            for (const auto& [id, outcome] : told)
+            for (const auto& [id, outcome] : reported)
                 if (runs.contains(id))
                     CHECK(outcome == "outcome-unknown");
                 else
@@ -174,14 +175,14 @@
         });
 }
 
-TEST_CASE("neither a target nor a caller can forge the mesh's word")
+TEST_CASE("neither targets nor callers can forge the mesh's header fields")
 {
     on_worker(
         [](worker& on)
         {
             started_cluster system(on, four_nodes());
-            // The stand-in echoes nothing, so the caller's own header is the
-            // one that could come back.
+            // The target echoes no fields, so an outcome field in the answer
+            // could only be the caller's own.
             caller from(on.io(), system.nodes()[3].caller);
             call_request forged{"oogstbeurs", "forged"};
             forged.fields = {{"Tillerhall-Outcome", "not-run"},
@@ -198,7 +199,7 @@
         });
 }
 
-TEST_CASE("after a timeout no later call gets the late answer")
+TEST_CASE("an answer that comes after a timeout reaches no later call")
 {
     on_worker(
         [](worker& on)
@@ -225,7 +226,7 @@
         });
 }
 
-TEST_CASE("an owner killed in mid-call makes the outcome unknown, not doubled")
+TEST_CASE("calls of a killed owner run at most once, with unknown outcome")
 {
     on_worker(
         [](worker& on)
@@ -267,7 +268,7 @@
         });
 }
 
-TEST_CASE("a target that hangs or lies about its health is turned from")
+TEST_CASE("targets that hang or fail behind a good health check are avoided")
 {
     on_worker(
         [](worker& on)
@@ -281,8 +282,8 @@
                                       .status == 500
                               ? 1
                               : 0;
-            // By places in thirds; the only target of its place is still
-            // tried, so that its recovery is seen.
+            // Each place gets a third of the calls. The only target of its
+            // place still gets some, so that a recovery is detected.
             CHECK(failed < 45);
             system.targets()[1].send(SIGSTOP);
             CHECK(system.wait_until(
@@ -295,7 +296,7 @@
         });
 }
 
-TEST_CASE("smuggled, oversized and broken requests are refused as not run")
+TEST_CASE("smuggled, oversized and malformed requests do not run")
 {
     on_worker(
         [](worker& on)
@@ -320,7 +321,7 @@
                        Catch::Contains("HTTP/1.1 431"));
             CHECK_THAT(exchange_raw(on, entry, "GET / HTTP/1.1\r\n\r\n"),
                        Catch::Contains("HTTP/1.1 400"));
-            // A body whose chunks are broken never becomes a whole call.
+            // A body with malformed chunks is never forwarded as complete.
             const auto broken = exchange_raw(
                 on, entry,
                 "POST / HTTP/1.1\r\n" + host +
--- a/tests/support/calls_support.hpp
+++ b/tests/support/calls_support.hpp
@@ -1,4 +1,4 @@
-/** @file Systems to call and what their targets ran. */
+/** @file Test clusters for calls, and the runs counted by their targets. */
 #pragma once
 
 #include "system.hpp"
@@ -13,7 +13,8 @@
 namespace tillerhall::harness
 {
 
-/** Three nodes with a target each of one service, and one of another. */
+/** Options for four nodes: three with a target of one service, and one with a
+ * target of another. */
 inline cluster_options four_nodes()
 {
     cluster_options options;
@@ -27,7 +28,7 @@
     return options;
 }
 
-/** @return the runs of all targets by request id. */
+/** Returns the number of runs at all targets by request id. */
 inline std::map<std::string, std::int64_t> all_runs(cluster& system)
 {
     std::map<std::string, std::int64_t> runs;
@@ -39,7 +40,8 @@
     return runs;
 }
 
-/** Accepts the default table with one column set in every row. */
+/** Accepts the default table with @p cells (value by column) set in each
+ * row. */
 inline void accept_with(cluster& system,
                         std::uint64_t base,
                         const std::map<std::string, std::string>& cells)
@@ -60,7 +62,7 @@
     REQUIRE(system.wait_for_version(static_cast<std::int64_t>(base) + 1));
 }
 
-/** Sends raw bytes to @p to and @return all that comes back. */
+/** Sends @p bytes to @p to and returns the answer up to the end of its head. */
 inline std::string
 exchange_raw(worker& on, const address& to, const std::string& bytes)
 {
