--- a/tests/integration/mesh_node.cpp
+++ b/tests/integration/mesh_node.cpp
@@ -1,4 +1,5 @@
-/** @file The node of the users' platform: routes, targets, stops, restarts. */
+/** @file Nodes that follow routes in a store: routing, targets, stops and
+ * restarts. */
 #include "mesh_system.hpp"
 
 using namespace tillerhall;
@@ -45,7 +46,7 @@
 
 } // namespace
 
-TEST_CASE("requests reach the service of their route, once, as they were sent")
+TEST_CASE("requests reach their route's service once and unchanged")
 {
     on_worker(
         [](worker& on)
@@ -76,7 +77,7 @@
         });
 }
 
-TEST_CASE("two changes of the configuration take hold, bad ones never do")
+TEST_CASE("valid configurations take effect, truncated and older ones do not")
 {
     on_worker(
         [](worker& on)
@@ -90,14 +91,15 @@
             REQUIRE(system.wait_until(
                 [&]
                 { return system.call(from, "n-2", "/new/x").status == 200; }));
-            // Cut short, and older than what is in force.
+            // A truncated configuration, and one older than that in force.
             auto cut = mesh_config(9, two_routes);
             cut.resize(cut.size() / 2);
             system.store().put("op", "", "config", cut);
             system.configure(2, two_routes);
             sleep_for(on.io(), milliseconds(1500));
             CHECK(system.call(from, "n-3", "/new/x").status == 200);
-            routes.back().service = "beurs"; // moves to the other service
+            // The route moves to the other service.
+            routes.back().service = "beurs";
             system.configure(10, routes);
             REQUIRE(system.wait_until(
                 [&]
@@ -109,7 +111,7 @@
         });
 }
 
-TEST_CASE("without a configuration a request is not run, and not unknown")
+TEST_CASE("without a configuration a request is refused as not run")
 {
     on_worker(
         [](worker& on)
@@ -121,7 +123,7 @@
             CHECK(answer.status == 503);
             CHECK_FALSE(answer.retry_after.empty());
             CHECK_FALSE(system.is_ready(system.hosts()[0]));
-            // The client comes back on a new connection: this one ends.
+            // The connection is closed: the client retries on a new one.
             const auto begin = steady_clock::now();
             const auto text =
                 raw_exchange(on, system.hosts()[0].at["caller"],
@@ -131,7 +133,7 @@
         });
 }
 
-TEST_CASE("a target that leaves gets no work, also after its node's restart")
+TEST_CASE("a target that left gets no calls, also after its node's restart")
 {
     on_worker(
         [](worker& on)
@@ -148,14 +150,14 @@
             host.node.kill();
             system.start_node(host);
             REQUIRE(system.wait_until([&] { return system.is_ready(host); }));
-            // A report from before the leaving, late.
+            // A delayed report from before the departure.
             host.target->report(host.at["operators"], "ready", 1);
             for (int i = 0; i < 20; ++i)
                 CHECK(system.call(host, "e-" + std::to_string(i), "/fields/x")
                           .status == 200);
             for (const auto& run : host.target->runs())
                 CHECK(run.id == "warm");
-            // The next start beside the same node is used.
+            // A restarted target at the same node gets calls again.
             host.target->start_again("i-next");
             host.target->report(host.at["operators"], "ready");
             CHECK(system.wait_until(
@@ -167,7 +169,7 @@
         });
 }
 
-TEST_CASE("with the store away a leaving is kept by peers and binds a restart")
+TEST_CASE("peers keep a target's departure during a store outage and a restart")
 {
     on_worker(
         [](worker& on)
@@ -179,7 +181,7 @@
             host.node.kill();
             system.start_node(host);
             host.target->report(host.at["operators"], "ready", 1);
-            // Peers know its address and hand over members and routes.
+            // Peers know its address and send it the members and routes.
             REQUIRE(system.wait_until([&] { return system.is_ready(host); }));
             for (int i = 0; i < 20; ++i)
                 system.call(host, "e-" + std::to_string(i), "/fields/x");
@@ -189,7 +191,7 @@
         });
 }
 
-TEST_CASE("a leaving that nobody can keep is not acknowledged")
+TEST_CASE("a departure that cannot be stored is not acknowledged")
 {
     on_worker(
         [](worker& on)
@@ -210,7 +212,7 @@
         });
 }
 
-TEST_CASE("a planned stop cuts no request and tells readiness at once")
+TEST_CASE("a planned stop cuts no request and fails readiness checks at once")
 {
     on_worker(
         [](worker& on)
@@ -252,7 +254,7 @@
         });
 }
 
-TEST_CASE("the last target of a service is used while its node is stopped")
+TEST_CASE("the last target of a service gets calls while its node stops")
 {
     on_worker(
         [](worker& on)
@@ -266,7 +268,7 @@
                 system.wait_until([&] { return !first.node.is_running(); }));
             last.node.send(SIGTERM);
             REQUIRE(system.wait_until([&] { return !system.is_ready(last); }));
-            // Its node serves for a while yet, so calls must get there.
+            // Its node still serves for some time, so calls must reach it.
             for (int i = 0; i < 10; ++i)
             {
                 const auto id = "late-" + std::to_string(i);
@@ -306,7 +308,7 @@
         });
 }
 
-TEST_CASE("what may run once runs once, whatever its target does")
+TEST_CASE("an unsafe request runs only once, whatever its target does")
 {
     on_worker(
         [](worker& on)
@@ -333,7 +335,7 @@
         });
 }
 
-TEST_CASE("a refusal by a target is tried elsewhere and never doubled")
+TEST_CASE("a request that a target refuses is retried and runs at most once")
 {
     on_worker(
         [](worker& on)
@@ -352,7 +354,7 @@
         });
 }
 
-TEST_CASE("late second answers and early ones reach nobody else")
+TEST_CASE("late and early answers of a target reach no other request")
 {
     on_worker(
         [](worker& on)
@@ -376,7 +378,7 @@
         });
 }
 
-TEST_CASE("pipelined requests run at once and are answered in order")
+TEST_CASE("pipelined requests run concurrently and are answered in order")
 {
     on_worker(
         [](worker& on)
@@ -402,7 +404,7 @@
         });
 }
 
-TEST_CASE("requests that come while answers go out are all answered in order")
+TEST_CASE("requests received while answers are sent are answered in order")
 {
     on_worker(
         [](worker& on)
@@ -445,7 +447,7 @@
         });
 }
 
-TEST_CASE("what is no proper request is refused by the limits in force")
+TEST_CASE("malformed and oversized requests are refused")
 {
     on_worker(
         [](worker& on)
@@ -485,7 +487,7 @@
         });
 }
 
-TEST_CASE("lost answers and a lost history of the store do no harm")
+TEST_CASE("lost answers and a lost history of the store lose no update")
 {
     on_worker(
         [](worker& on)
@@ -508,7 +510,7 @@
         });
 }
 
-TEST_CASE("SIGHUP reads the settings again and cuts nothing")
+TEST_CASE("SIGHUP reloads the settings and cuts no request")
 {
     on_worker(
         [](worker& on)
@@ -532,7 +534,7 @@
         });
 }
 
-TEST_CASE("nodes tell how long calls waited for them to begin")
+TEST_CASE("nodes report how long calls waited for them")
 {
     on_worker(
         [](worker& on)
@@ -547,7 +549,7 @@
                 REQUIRE(at != std::string::npos);
                 return std::stoi(metrics.substr(at + name.size()));
             };
-            // Each host called the service that it does not have.
+            // Each host has called the service that has no target there.
             int by_peers = 0;
             for (auto& host : system.hosts())
             {
