--- a/include/tillerhall/node/blackboard.hpp
+++ b/include/tillerhall/node/blackboard.hpp
@@ -59,7 +59,7 @@
     std::atomic<std::int64_t> calls_in_flight{0};
     /** Wall clock when the current version took effect, in microseconds. */
     std::atomic<std::int64_t> applied_us{0};
-    /** Wall clock of the accepting node when it was accepted, in
+    /** Wall clock of the accepting node when it accepted that version, in
      * microseconds. */
     std::atomic<std::int64_t> accepted_us{0};
 
--- a/include/tillerhall/node/call_admission.hpp
+++ b/include/tillerhall/node/call_admission.hpp
@@ -17,7 +17,7 @@
     std::string caller; ///< calling service, for fair queueing
     time_point deadline{};
     std::uint32_t rank = 0; ///< priority; 0 is the highest
-    time_point due{};       ///< when the caller expects the answer
+    time_point due{};       ///< end of the call's latency objective
     duration most_wait = duration::max(); ///< longest acceptable queueing time
     duration run{};                       ///< expected run time; 0: the mean
     cancel_scope* scope = nullptr;        ///< cancels the wait; may be null
@@ -41,7 +41,7 @@
     admission_verdict acquire(boost::asio::io_context& io,
                               const admission_request& request);
 
-    /** Returns the slot after a run that took @p took. */
+    /** Releases the slot after a run that took @p took. */
     void release(duration took);
 
     void set_limits(const admission_limits& limits);
--- a/include/tillerhall/node/call_context.hpp
+++ b/include/tillerhall/node/call_context.hpp
@@ -21,14 +21,15 @@
     time_point deadline;                ///< set by the caller, else the maximum
     bool repeatable = false;            ///< by its HTTP method only
     std::vector<call_attempt> attempts; ///< attempts so far, for the call log
-    std::string claim_key; ///< digest of its idempotency key, or empty
+    std::string claim_key; ///< digest of a key to be claimed, or empty
 };
 
 /** Reads the context of a call; generates a request id if the head has no valid
  * one. */
 call_context read_context(const request_head& head, time_point now);
 
-/** Returns @p head with the fields of the next hop set. */
+/** Returns @p head as forwarded to the next hop: without hop-by-hop and mesh
+ * fields, but with the request id and the time left until @p deadline. */
 request_head onward_head(const request_head& head,
                          const call_context& context,
                          time_point deadline,
--- a/include/tillerhall/node/mesh_node.hpp
+++ b/include/tillerhall/node/mesh_node.hpp
@@ -43,7 +43,7 @@
     /** Bearer token required for changes; if empty, all are refused. */
     std::string operator_token;
 
-    /** Reads the settings again after SIGHUP. */
+    /** Reloads the settings on SIGHUP. */
     std::function<settings_outcome()> reload;
 };
 
--- a/include/tillerhall/node/owner_proxy.hpp
+++ b/include/tillerhall/node/owner_proxy.hpp
@@ -49,7 +49,7 @@
                        const relay_plan& plan,
                        std::unique_ptr<tcp_stream> stream);
     /** Returns true if the target refuses connections. Called after a lost
-     * answer, to tell a crash from a lost connection. */
+     * answer, to distinguish a crash from a lost connection. */
     bool has_target_crashed();
 
     const settings& m_config;
--- a/src/node/entry_claims.cpp
+++ b/src/node/entry_claims.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-// Must stay below the 14 minutes for which a claim is stored.
+// Must stay below claim_shard::kept_minutes.
 constexpr std::chrono::minutes max_claimed_call(5);
 
 /** The response to a keyed call whose claim was not granted. */
