--- a/include/tillerhall/http/link_turns.hpp
+++ b/include/tillerhall/http/link_turns.hpp
@@ -1,4 +1,4 @@
-/** @file Lets fibers wait until their body may go out on the host's link. */
+/** @file Schedules the bodies that fibers send on the host's link. */
 #pragma once
 
 #include "tillerhall/routing/link_schedule.hpp"
@@ -8,39 +8,40 @@
 namespace tillerhall
 {
 
-/** A `link_schedule` for the fibers of one worker. */
+/** Assigns transfer slots by a `link_schedule` to fibers of one worker. */
 class link_turns
 {
 public:
-    /** @param mbps of the host's link; 0 if not known */
+    /** @param mbps rate of the host's link in Mbit/s; 0 if not known */
     link_turns(boost::asio::io_context& io, double mbps)
         : m_io(io)
-        , m_pump(io)
+        , m_grant_timer(io)
         , m_schedule(mbps)
     {
     }
 
     /**
-     * Waits until a body may go out. Small ones are only counted.
-     * @param due by which it should have arrived
+     * Waits until a body may be sent. Small bodies do not wait; they are only
+     * counted.
+     * @param due time by which the body should have arrived
      */
-    void await_turn(std::uint64_t bytes, time_point due);
+    void await_slot(std::uint64_t bytes, time_point due);
 
-    /** @return how long the link takes for all that is before a new body. */
+    /** @return transfer time of all that is queued before a new body. */
     duration backlog() const { return m_schedule.backlog(steady_clock::now()); }
 
-    /** @return how long @p bytes take on this link. */
+    /** @return transfer time of @p bytes; zero if the rate is not known. */
     duration time_of(std::uint64_t bytes) const noexcept
     {
         return m_schedule.time_of(bytes);
     }
 
 private:
-    /** Grants what may go now and comes back for the next one. */
-    void pump();
+    /** Grants the slots that are free now and sets the timer for the next. */
+    void grant_ready();
 
     boost::asio::io_context& m_io;
-    boost::asio::steady_timer m_pump;
+    boost::asio::steady_timer m_grant_timer;
     link_schedule m_schedule;
 };
 
--- a/src/http/call_session.cpp
+++ b/src/http/call_session.cpp
@@ -295,7 +295,7 @@
     if (!has_body)
         call.response.body().clear(); // its length stays told
     if (m_host.outgoing != nullptr)
-        m_host.outgoing->await_turn(call.response.body().size() + head_bytes,
+        m_host.outgoing->await_slot(call.response.body().size() + head_bytes,
                                     call.request.answer_due);
     m_stream->expires_after(write_timeout);
     boost::system::error_code failed;
--- a/src/http/link_turns.cpp
+++ b/src/http/link_turns.cpp
@@ -4,7 +4,7 @@
 namespace tillerhall
 {
 
-void link_turns::await_turn(std::uint64_t bytes, time_point due)
+void link_turns::await_slot(std::uint64_t bytes, time_point due)
 {
     const auto now = steady_clock::now();
     if (!m_schedule.must_wait(bytes, now))
@@ -17,23 +17,23 @@
     const bool is_first = !m_schedule.any_waits();
     m_schedule.enqueue(waiter, now);
     if (is_first)
-        pump();
+        grant_ready();
     boost::system::error_code ignored;
     while (!waiter.granted)
         granted.async_wait(await{ignored});
 }
 
-void link_turns::pump()
+void link_turns::grant_ready()
 {
     m_schedule.grant(steady_clock::now());
     if (!m_schedule.any_waits())
         return;
-    m_pump.expires_at(m_schedule.next_grant());
-    m_pump.async_wait(
+    m_grant_timer.expires_at(m_schedule.next_grant());
+    m_grant_timer.async_wait(
         [this](const boost::system::error_code& failed)
         {
             if (!failed)
-                pump();
+                grant_ready();
         });
 }
 
