--- a/include/tillerhall/http/relay.hpp
+++ b/include/tillerhall/http/relay.hpp
@@ -1,4 +1,4 @@
-/** @file Passes one call on and its answer back, both streamed. */
+/** @file Forwards one call upstream and streams its answer back. */
 #pragma once
 
 #include "tillerhall/http/inbound_call.hpp"
@@ -9,18 +9,18 @@
 namespace tillerhall
 {
 
-/** How passing a call on ended. */
+/** How forwarding a call ended. */
 enum class relay_end
 {
-    answered,   ///< the whole answer went to the caller
-    not_run,    ///< it did not run, and nothing went to the caller
-    unknown,    ///< it may have run; nothing went to the caller
-    timed_out,  ///< it may have run; nothing went to the caller
-    cut,        ///< the caller got part of an answer and was cut off
-    caller_gone ///< nobody waits any more
+    answered,   ///< the complete answer was sent to the caller
+    not_run,    ///< it did not run; nothing was sent to the caller
+    unknown,    ///< it may have run; nothing was sent to the caller
+    timed_out,  ///< it may have run; nothing was sent to the caller
+    cut,        ///< the caller got part of an answer and was disconnected
+    caller_gone ///< the caller disconnected
 };
 
-/** A whole answer, kept to be given again. */
+/** A complete answer, stored for repeats of the call. */
 struct kept_answer
 {
     unsigned status = 0;
@@ -28,44 +28,44 @@
     std::string body;
 };
 
-/** What passing a call on led to. */
+/** The result of forwarding a call. */
 struct relay_result
 {
     relay_end end = relay_end::unknown;
-    unsigned status = 0;        ///< of the answer
-    std::string detail;         ///< why, when not answered
-    std::string retry_after;    ///< of a refusal, seconds as text
-    std::optional<double> load; ///< the owner's word
-    bool reusable = false;      ///< the upstream connection may carry another
-    bool started = false;       ///< at least one byte went upstream
-    std::optional<kept_answer> kept; ///< if asked for and short enough
+    unsigned status = 0;             ///< of the answer
+    std::string detail;              ///< why, when not answered
+    std::string retry_after;         ///< Retry-After of a refusal, in seconds
+    std::optional<double> load;      ///< reported by the owner
+    bool reusable = false;           ///< the upstream connection may be reused
+    bool started = false;            ///< at least one byte was sent upstream
+    std::optional<kept_answer> kept; ///< if requested and short enough
 };
 
-/** Who vouches for a refusal that comes from upstream. */
+/** What the upstream is; decides which of its refusals are trusted. */
 enum class upstream_kind
 {
-    peer,  ///< another node: its outcome field is believed
-    target ///< a target: only its own published sign is believed
+    peer,  ///< another node: its outcome field is trusted
+    target ///< a target: only its not-run header is trusted
 };
 
-/** How a call is to be passed on. */
+/** How to forward a call. */
 struct relay_plan
 {
     upstream_kind upstream = upstream_kind::target;
-    request_head head;          ///< as it goes upstream, framing excluded
+    request_head head;          ///< to send upstream, without framing
     time_point deadline;        ///< for the whole exchange
-    std::string not_run_header; ///< the target's sign of a call not run
+    std::string not_run_header; ///< set by a target on calls it did not run
     std::string request_id;     ///< set in the answer
     std::optional<double> load; ///< set in the answer, for an entry node
-    bool keep_answer = false;   ///< copy a short whole answer
+    bool keep_answer = false;   ///< copy a short complete answer
 };
 
 /**
  * Sends @p call to @p upstream and its answer back to the caller.
  *
- * A body that is not in memory whole goes to a peer only after the peer's
- * 100 (Continue), so a refusal there costs none of it. The answer to the
- * caller starts only once the upstream's head is known to be no refusal.
+ * A body that is only partly in memory is sent to a peer after the peer's
+ * 100 (Continue), so that a refusal costs no transfer of it. Nothing is sent
+ * to the caller before the upstream's head is known not to be a refusal.
  */
 relay_result
 relay_call(inbound_call& call, tcp_stream& upstream, const relay_plan& plan);
--- a/src/http/relay.cpp
+++ b/src/http/relay.cpp
@@ -17,10 +17,10 @@
 using response_parser = http::response_parser<http::buffer_body>;
 
 constexpr std::size_t piece_bytes = 64 * 1024;
-constexpr std::uint32_t largest_response_head = 32 * 1024;
+constexpr std::uint32_t max_response_head_bytes = 32 * 1024;
 constexpr auto service_unavailable = http::status::service_unavailable;
 
-/** One call on its way; the steps of `relay_call` over their shared state. */
+/** The state and the steps of one `relay_call`. */
 class relay
 {
 public:
@@ -35,7 +35,7 @@
     {
         m_upstream.expires_at(m_plan.deadline);
         const bool sent = m_call.is_whole() ? send_whole() : send_pieces();
-        if (sent && read_answer_head() && !take_verdict())
+        if (sent && read_answer_head() && !handle_refusal())
             answer();
         return std::move(m_result);
     }
@@ -58,9 +58,9 @@
         m_result.started = m_result.started || bytes != 0;
         if (!failed)
             return true;
-        // With no byte accepted by the kernel nothing can have arrived.
-        end(m_result.started ? relay_end::unknown : relay_end::not_run,
-            "sending failed: " + failed.message(), failed);
+        // If the kernel accepted no byte, nothing can have arrived.
+        fail(m_result.started ? relay_end::unknown : relay_end::not_run,
+             "sending failed: " + failed.message(), failed);
         return false;
     }
 
@@ -96,20 +96,20 @@
             if (failed == http::error::need_buffer)
                 failed = {};
             if (failed)
-                return end(relay_end::unknown,
-                           "sending the body failed: " + failed.message(),
-                           failed);
+                return fail(relay_end::unknown,
+                            "sending the body failed: " + failed.message(),
+                            failed);
             if (!body.more)
                 return true;
             const auto size = m_call.read_piece(buffer);
             if (!size)
-                return end(relay_end::caller_gone, size.reason().detail());
+                return fail(relay_end::caller_gone, size.reason().detail());
             piece = std::span(buffer.data(), *size);
         }
     }
 
-    /** @return whether the peer lets the body come; if not, `m_parser` holds
-     * its answer or the result tells why there is none. */
+    /** @return true if the peer accepts the body. If not, `m_parser` holds its
+     * answer, or `m_result` says why there is none. */
     bool await_continue()
     {
         if (!read_head_once())
@@ -123,7 +123,7 @@
     bool read_head_once()
     {
         m_parser.emplace();
-        m_parser->header_limit(largest_response_head);
+        m_parser->header_limit(max_response_head_bytes);
         m_parser->body_limit(boost::none);
         m_parser->skip(m_plan.head.method() == http::verb::head);
         boost::system::error_code failed;
@@ -131,14 +131,14 @@
         if (!failed)
             return true;
         m_parser.reset();
-        return end(relay_end::unknown, "no answer came: " + failed.message(),
-                   failed);
+        return fail(relay_end::unknown, "no answer came: " + failed.message(),
+                    failed);
     }
 
     bool read_answer_head()
     {
         if (m_parser)
-            return true; // a refusal before the body
+            return true; // the peer answered before the body was sent
         const caller_watch watch(m_call.stream(), m_upstream);
         bool informational = true;
         while (informational)
@@ -155,18 +155,18 @@
         return true;
     }
 
-    bool take_verdict()
+    bool handle_refusal()
     {
         const auto& head = m_parser->get();
         const std::string_view load = head[field_name::load];
         if (m_plan.upstream == upstream_kind::peer && !load.empty())
             m_result.load = std::strtod(std::string(load).c_str(), nullptr);
-        const auto how = verdict_of(head);
-        if (how == relay_end::answered)
+        const auto outcome = outcome_of(head);
+        if (outcome == relay_end::answered)
             return false;
         m_result.retry_after = std::string(head[http::field::retry_after]);
         m_result.status = head.result_int();
-        m_result.end = how;
+        m_result.end = outcome;
         m_result.detail = m_plan.upstream == upstream_kind::peer
                               ? "told by the target's node"
                               : "refused by the target";
@@ -174,8 +174,8 @@
         return true;
     }
 
-    /** @return how the call ended if this head is no target's answer. */
-    relay_end verdict_of(const response_head& head) const
+    /** @return how the call ended, `answered` if the head is an answer. */
+    relay_end outcome_of(const response_head& head) const
     {
         const bool from_peer = m_plan.upstream == upstream_kind::peer;
         const auto outcome = head[field_name::outcome];
@@ -190,7 +190,7 @@
                    : relay_end::unknown;
     }
 
-    /** Reads a refusal's body, so that the connection can be used again. */
+    /** Reads the body of a refusal, so that the connection can be reused. */
     void drain_refusal()
     {
         std::array<char, 4096> scratch{};
@@ -235,17 +235,17 @@
     void answer()
     {
         m_result.status = m_parser->get().result_int();
-        m_buffer_piece.resize(piece_bytes);
+        m_piece.resize(piece_bytes);
         boost::system::error_code failed;
-        const auto size = read_body(m_buffer_piece, failed);
+        const auto size = read_body(m_piece, failed);
         if (failed)
         {
-            // Nothing has gone to the caller yet, so it can be told.
-            end(relay_end::unknown, "the answer broke off: " + failed.message(),
-                failed);
+            // Nothing was sent to the caller yet: it gets an error response.
+            fail(relay_end::unknown,
+                 "the answer broke off: " + failed.message(), failed);
             return;
         }
-        // The caller's stream has its own clock while it takes the answer.
+        // Reading the request may have left another deadline on the stream.
         m_call.stream().expires_at(m_plan.deadline);
         if (m_parser->is_done())
             answer_whole(size);
@@ -256,7 +256,7 @@
     void answer_whole(std::size_t size)
     {
         http::response<http::string_body> response(answer_head());
-        response.body().assign(m_buffer_piece.data(), size);
+        response.body().assign(m_piece.data(), size);
         const bool has_length =
             response.count(http::field::content_length) != 0;
         if (size != 0 || !has_length)
@@ -284,7 +284,7 @@
         {
             auto& body = response.body();
             const bool more = !m_parser->is_done();
-            body.data = size == 0 ? nullptr : m_buffer_piece.data();
+            body.data = size == 0 ? nullptr : m_piece.data();
             body.size = size;
             body.more = more;
             boost::system::error_code failed;
@@ -293,20 +293,20 @@
                 failed = {};
             if (failed || !more)
                 return finish(failed);
-            size = read_body(m_buffer_piece, failed);
+            size = read_body(m_piece, failed);
             if (failed)
             {
-                cut_off();
-                end(relay_end::cut,
-                    "the answer broke off: " + failed.message());
+                close_caller();
+                fail(relay_end::cut,
+                     "the answer broke off: " + failed.message());
                 return;
             }
         }
     }
 
-    /** Breaks the caller's connection, so that it sees an answer cut short
-     * and never takes it for whole. */
-    void cut_off()
+    /** Closes the caller's connection, so that it does not take a truncated
+     * answer for a complete one. */
+    void close_caller()
     {
         boost::system::error_code ignored;
         m_call.stream().socket().close(ignored);
@@ -320,10 +320,10 @@
                             m_call.is_whole();
     }
 
-    /** Notes how it ended. @return false, for the callers' convenience. */
-    bool end(relay_end how,
-             std::string detail,
-             const boost::system::error_code& failed = {})
+    /** Records a failure. @return false, for use in return statements. */
+    bool fail(relay_end how,
+              std::string detail,
+              const boost::system::error_code& failed = {})
     {
         const bool timed_out = failed == boost::beast::error::timeout;
         m_result.end =
@@ -338,7 +338,7 @@
     relay_result m_result;
     boost::beast::flat_buffer m_buffer;
     std::optional<response_parser> m_parser;
-    std::vector<char> m_buffer_piece;
+    std::vector<char> m_piece;
 };
 
 } // namespace
