--- a/include/tillerhall/http/inbound_call.hpp
+++ b/include/tillerhall/http/inbound_call.hpp
@@ -1,4 +1,4 @@
-/** @file One call that came in, its body read as far as it is needed. */
+/** @file An incoming call whose body is read on demand. */
 #pragma once
 
 #include "tillerhall/http/fields.hpp"
@@ -17,49 +17,49 @@
 enum class head_status
 {
     ok,
-    closed,    ///< the connection ended between two calls
+    closed,    ///< the connection was closed between two calls
     malformed, ///< answer 400
     too_large  ///< answer 431
 };
 
 /**
- * A request on @p stream. The first part of its body is kept in memory, so
- * that a call whose whole body fits there can be sent again; the rest is
- * passed on piece by piece.
+ * A request on a stream. The first part of its body, the prefix, is kept in
+ * memory, so that a call whose body fits there can be retried; the rest is
+ * forwarded in pieces.
  */
 class inbound_call
 {
 public:
     static constexpr std::uint32_t largest_head = 16 * 1024;
-    static constexpr std::size_t largest_prefix = 64 * 1024;
+    static constexpr std::size_t max_prefix_bytes = 64 * 1024;
 
-    /** @param buffer holds bytes read ahead; shared by the calls of a stream */
+    /** @param buffer bytes read ahead, shared by all calls of @p stream */
     inbound_call(tcp_stream& stream, boost::beast::flat_buffer& buffer);
 
-    /** Reads the head; waits for it up to the stream's own deadline. */
+    /** Reads the head, up to the deadline set on the stream. */
     head_status read_head();
 
-    /** Reads the body's first part into `prefix()`. @return false if it broke.
-     */
+    /** Reads the first part of the body into `prefix()`.
+     * @return false if the connection failed. */
     bool read_prefix();
 
     /** @return whether the whole body is in `prefix()`. */
     bool is_whole() const { return m_parser.is_done(); }
 
-    /** Reads the next piece after the prefix. @return its size, 0 at the end.
-     */
+    /** Reads the next piece after the prefix.
+     * @return its size, 0 at the end of the body. */
     result<std::size_t> read_piece(std::span<char> into);
 
     const request_head& head() const { return m_parser.get().base(); }
     const std::string& prefix() const noexcept { return m_prefix; }
 
-    /** @return whether nothing of the body but the prefix was passed on. */
+    /** @return true if no piece was read: the prefix is all that was sent. */
     bool can_send_again() const noexcept { return !m_pieces_read; }
 
-    /** @return the length of the body if the head tells it. */
+    /** @return the Content-Length, if there is one. */
     std::optional<std::uint64_t> length() const;
 
-    /** @return whether the connection may carry another call afterwards. */
+    /** @return true if the connection can be kept for another call. */
     bool can_keep_alive() const
     {
         return m_parser.is_done() && m_parser.get().keep_alive();
@@ -68,7 +68,7 @@
     /** @return whether the caller waits for 100 (Continue). */
     bool expects_continue() const;
 
-    /** Sends 100 (Continue). @return false if the stream broke. */
+    /** Sends 100 (Continue). @return false if the connection failed. */
     bool send_continue();
 
     tcp_stream& stream() noexcept { return m_stream; }
--- a/src/http/inbound_call.cpp
+++ b/src/http/inbound_call.cpp
@@ -57,7 +57,7 @@
     if (expects_continue() && !send_continue())
         return false;
     const auto wanted = std::min<std::uint64_t>(
-        largest_prefix, length().value_or(largest_prefix));
+        max_prefix_bytes, length().value_or(max_prefix_bytes));
     m_prefix.resize(wanted);
     boost::system::error_code failed;
     const auto size = read_into(m_prefix, failed);
