--- a/src/http/relay.cpp
+++ b/src/http/relay.cpp
@@ -245,7 +245,7 @@
                  "the answer broke off: " + failed.message(), failed);
             return;
         }
-        // Reading the request may have left another deadline on the stream.
+        // The deadline of the caller's stream is set apart from the upstream's.
         m_call.stream().expires_at(m_plan.deadline);
         if (m_parser->is_done())
             answer_whole(size);
