--- a/include/tillerhall/http/byte_backlog.hpp
+++ b/include/tillerhall/http/byte_backlog.hpp
@@ -1,4 +1,4 @@
-/** @file Bodies that are on their way to this node. */
+/** @file Counts the bytes of bodies total transit to this node. */
 #pragma once
 
 #include <cstdint>
@@ -6,32 +6,33 @@
 namespace tillerhall
 {
 
-/** Bytes of the bodies that are being read now, whole ones as long as any of
- * their bytes are missing. For fibers of one worker. */
+/** Sum of the full sizes of the bodies that are being read. For fibers of one
+ * worker. */
 class byte_backlog
 {
 public:
-    /** Counts one body for as long as it lives; null counts nowhere. */
+    /** Adds one body to the sum while this object lives. */
     class body
     {
     public:
-        body(byte_backlog* in, std::uint64_t bytes) noexcept
-            : m_in(in)
+        /** @param total may be null: the body is not counted then */
+        body(byte_backlog* total, std::uint64_t bytes) noexcept
+            : m_total(total)
             , m_bytes(bytes)
         {
-            if (m_in != nullptr)
-                m_in->m_bytes += m_bytes;
+            if (m_total != nullptr)
+                m_total->m_bytes += m_bytes;
         }
         ~body()
         {
-            if (m_in != nullptr)
-                m_in->m_bytes -= m_bytes;
+            if (m_total != nullptr)
+                m_total->m_bytes -= m_bytes;
         }
         body(const body&) = delete;
         body& operator=(const body&) = delete;
 
     private:
-        byte_backlog* m_in;
+        byte_backlog* m_total;
         std::uint64_t m_bytes;
     };
 
