--- a/include/tillerhall/http/call_session.hpp
+++ b/include/tillerhall/http/call_session.hpp
@@ -126,7 +126,7 @@
     bool send_continue();
     void start(const pending_ptr& call);
     /** @return whether the client has left, as far as a look is worth it. */
-    bool has_left();
+    bool has_disconnected();
     void finish(pending_call& call);
     void write_ready();
     void write_next();
--- a/include/tillerhall/http/cancel_scope.hpp
+++ b/include/tillerhall/http/cancel_scope.hpp
@@ -1,4 +1,4 @@
-/** @file Lets one fiber end what another one waits for. */
+/** @file Cancels the waits of a call whose client disconnected. */
 #pragma once
 
 #include <functional>
@@ -8,20 +8,21 @@
 {
 
 /**
- * The scope of one call that its client may leave. Whoever waits on behalf of
- * the call says how the wait is ended; `cancel` does so, once and for good.
+ * Cancellation of one call. Code that waits on behalf of the call sets an
+ * action that ends its wait; `cancel` runs it. A cancelled scope stays so.
  * For fibers of one worker.
  */
 class cancel_scope
 {
 public:
-    /** Sets how the wait that begins now is ended; null when none is on. */
+    /** Sets the action that ends the present wait; null without a wait. */
     void set_action(std::function<void()> action)
     {
         m_action = std::move(action);
     }
 
-    /** Ends the wait that is on and every later one. */
+    /** Ends the present wait. Callers check `is_cancelled` before later ones.
+     */
     void cancel()
     {
         m_cancelled = true;
@@ -31,33 +32,32 @@
 
     bool is_cancelled() const noexcept { return m_cancelled; }
 
-    /** Sets how to ask whether the client has left. */
-    void set_departure_check(std::function<bool()> has_left)
+    /** Sets the function that checks if the client has disconnected. */
+    void set_disconnect_check(std::function<bool()> has_disconnected)
     {
-        m_has_left = std::move(has_left);
+        m_has_disconnected = std::move(has_disconnected);
     }
 
     /**
-     * For a last look before the call goes where it cannot be taken back.
-     * Cancels if the client has left and nobody was told of it yet: the read
-     * that tells may wait for its turn of a busy worker. 450 calls a second
-     * went on like that in an overload, by a trace of each call.
-     * @return whether the call is cancelled.
+     * Checks once more, before a step that cannot be undone. Cancels if the
+     * client has disconnected, also while the read that would report it is
+     * still queued on a busy worker.
+     * @return true if the call is cancelled.
      */
     bool is_cancelled_now()
     {
-        if (!m_cancelled && m_has_left && m_has_left())
+        if (!m_cancelled && m_has_disconnected && m_has_disconnected())
             cancel();
         return m_cancelled;
     }
 
 private:
     std::function<void()> m_action;
-    std::function<bool()> m_has_left;
+    std::function<bool()> m_has_disconnected;
     bool m_cancelled = false;
 };
 
-/** Sets an action for the time of one wait. */
+/** Sets the action of a scope for the duration of one wait. */
 class cancel_action
 {
 public:
--- a/src/http/call_session.cpp
+++ b/src/http/call_session.cpp
@@ -225,7 +225,7 @@
 
 void call_session::start(const pending_ptr& call)
 {
-    call->scope.set_departure_check([this] { return has_left(); });
+    call->scope.set_disconnect_check([this] { return has_disconnected(); });
     m_worker.spawn(
         [this, self = shared_from_this(), call]
         {
@@ -235,7 +235,7 @@
         });
 }
 
-bool call_session::has_left()
+bool call_session::has_disconnected()
 {
     return m_worker.busy_for() > read_soon && has_closed(*m_stream);
 }
