--- a/include/tillerhall/http/stream.hpp
+++ b/include/tillerhall/http/stream.hpp
@@ -1,4 +1,4 @@
-/** @file The TCP stream type of the library and how one is opened. */
+/** @file The TCP stream type, and functions on such streams. */
 #pragma once
 
 #include "tillerhall/core/address.hpp"
@@ -12,14 +12,14 @@
 namespace tillerhall
 {
 
-/** A TCP stream with a deadline for each operation, on one worker. */
+/** A TCP stream of one worker, with a deadline for its operations. */
 using tcp_stream =
     boost::beast::basic_stream<boost::asio::ip::tcp,
                                boost::asio::io_context::executor_type>;
 
 /**
- * @param from_ip own IP number to connect from; empty lets the system choose
- * @return an open stream to @p to, or why there is none.
+ * @param from_ip local IP address to connect from; empty lets the system choose
+ * @return an open stream to @p to, or the error.
  */
 result<std::unique_ptr<tcp_stream>>
 connect_stream(boost::asio::io_context& io,
@@ -27,7 +27,7 @@
                duration timeout,
                const std::string& from_ip = {});
 
-/** The same; @p failed tells how the connecting ended. */
+/** As above; sets @p failed to the error code of the connect. */
 result<std::unique_ptr<tcp_stream>>
 connect_stream(boost::asio::io_context& io,
                const address& to,
@@ -36,21 +36,22 @@
                boost::system::error_code& failed);
 
 /**
- * Ends @p stream when what was sent is not acknowledged within @p limit, and
- * probes it while it is idle: a host that went away says nothing.
+ * Makes @p stream fail when sent data is not acknowledged within @p limit, and
+ * turns on TCP keepalive: a host that is lost closes no connection.
  */
 void set_user_timeout(tcp_stream& stream, duration limit);
 
 /**
- * @return whether the idle @p stream may carry another exchange: the other
- * side has neither closed it nor sent anything nobody asked for.
+ * @return true if the idle @p stream can carry another exchange: the peer has
+ * neither closed it nor sent unrequested data.
  */
 bool is_reusable(tcp_stream& stream);
 
-/** @return whether the other side has closed; bytes waiting mean no. */
-bool has_closed(tcp_stream& stream);
+/** @return true if the peer has closed; false while there is unread data. */
+bool peer_has_closed(tcp_stream& stream);
 
-/** @return the error for a failed operation on a stream to @p peer. */
+/** @return the error for a failed operation on a stream to @p peer.
+ * @param what start of its detail, before the address */
 error stream_error(const boost::system::error_code& failed,
                    const std::string& what,
                    const address& peer);
--- a/src/http/call_session.cpp
+++ b/src/http/call_session.cpp
@@ -237,7 +237,7 @@
 
 bool call_session::has_disconnected()
 {
-    return m_worker.busy_for() > read_soon && has_closed(*m_stream);
+    return m_worker.busy_for() > read_soon && peer_has_closed(*m_stream);
 }
 
 void call_session::finish(pending_call& call)
--- a/src/http/caller_watch.cpp
+++ b/src/http/caller_watch.cpp
@@ -13,7 +13,7 @@
          &upstream](const boost::system::error_code& failed)
         {
             // Once the watch is over the streams may be gone, too.
-            if (failed || !shared->active || !has_closed(caller))
+            if (failed || !shared->active || !peer_has_closed(caller))
                 return;
             shared->gone = true;
             upstream.cancel();
--- a/src/http/stream.cpp
+++ b/src/http/stream.cpp
@@ -14,7 +14,7 @@
 
 using boost::asio::ip::tcp;
 
-/** Binds the stream's own side; its port is chosen at connecting. */
+/** Binds the local address; the port is chosen at connect. */
 void bind_source(tcp_stream& stream,
                  const std::string& from_ip,
                  boost::system::error_code& failed)
@@ -32,7 +32,7 @@
         socket.bind(own, failed);
 }
 
-/** @return what a read would fail with now; nothing if bytes are there. */
+/** @return the error that a read would give; none if there is data. */
 boost::system::error_code peek(tcp_stream& stream)
 {
     auto& socket = stream.socket();
@@ -86,7 +86,7 @@
     const auto socket = stream.socket().native_handle();
     const auto limit_ms = static_cast<unsigned>(to_ms(limit));
     const int on = 1;
-    const int probe_s = 1; // the least that can be set
+    const int probe_s = 1; // the minimum of the kernel
     ::setsockopt(socket, IPPROTO_TCP, TCP_USER_TIMEOUT, &limit_ms,
                  sizeof limit_ms);
     ::setsockopt(socket, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof on);
@@ -100,7 +100,7 @@
            peek(stream) == boost::asio::error::would_block;
 }
 
-bool has_closed(tcp_stream& stream)
+bool peer_has_closed(tcp_stream& stream)
 {
     const auto failed = peek(stream);
     return failed && failed != boost::asio::error::would_block;
