--- a/include/tillerhall/http/caller_watch.hpp
+++ b/include/tillerhall/http/caller_watch.hpp
@@ -1,4 +1,4 @@
-/** @file Notices that a caller went away while its call is under way. */
+/** @file Detects that a caller disconnects during its call. */
 #pragma once
 
 #include "tillerhall/http/stream.hpp"
@@ -9,8 +9,8 @@
 {
 
 /**
- * While it lives, closes @p upstream as soon as the caller's side of
- * @p caller closes. No other operation may use @p caller meanwhile.
+ * While this object lives, closes the upstream stream when the caller closes
+ * its own. No other operation may use the caller's stream meanwhile.
  */
 class caller_watch
 {
@@ -21,7 +21,7 @@
     caller_watch(const caller_watch&) = delete;
     caller_watch& operator=(const caller_watch&) = delete;
 
-    /** @return whether the caller went away. */
+    /** @return true if the caller disconnected. */
     bool is_gone() const noexcept { return m_state->gone; }
 
 private:
--- a/src/http/caller_watch.cpp
+++ b/src/http/caller_watch.cpp
@@ -12,7 +12,7 @@
         [shared = m_state, &caller,
          &upstream](const boost::system::error_code& failed)
         {
-            // Once the watch is over the streams may be gone, too.
+            // After the watch has ended the streams may be destroyed.
             if (failed || !shared->active || !peer_has_closed(caller))
                 return;
             shared->gone = true;
