--- a/src/http/call_session.cpp
+++ b/src/http/call_session.cpp
@@ -14,21 +14,20 @@
 
 namespace http = boost::beast::http;
 
-// A client that takes longer than this to take an answer is not there.
+// A client that does not read an answer for so long is taken for lost.
 constexpr std::chrono::seconds write_timeout(20);
-// Calls of the connection may still run while nothing is read from it.
-constexpr std::chrono::seconds longest_call(60);
-// A body of the size limit at a slow client's pace.
+// Added to the idle timeout while calls of the connection are running.
+constexpr std::chrono::seconds max_call_time(60);
+// Enough for a body of the maximum size from a slow client.
 constexpr std::chrono::seconds body_timeout(20);
-// What the client sent before it saw the end is read for this long, since
-// closing with unread bytes would reset the connection and lose the answer.
+// After the last answer the input is read and discarded for so long: closing
+// with unread bytes would reset the connection and lose the answer.
 constexpr std::chrono::seconds linger_time(1);
-// An end that came while the worker was busy for less is read in time: within a
-// twenty-fifth of the half second after which a run for nobody is a loss.
-constexpr milliseconds read_soon(20);
-// A typical head; each connection that rests holds so much.
+// A worker that has been busy for less than this reads a close soon enough.
+constexpr milliseconds busy_check_limit(20);
+// A typical request head; each idle connection holds a buffer of this size.
 constexpr std::size_t first_read_bytes = 512;
-// A typical head of an answer, as a link carries it.
+// A typical head of an answer with its frames, for the link scheduler.
 constexpr std::uint64_t head_bytes = 300;
 constexpr std::string_view continue_line = "HTTP/1.1 100 Continue\r\n\r\n";
 
@@ -41,7 +40,7 @@
     return {400, "not a request: " + failed.message()};
 }
 
-/** @return whether @p failed means bytes that are no request. */
+/** @return true if @p failed means input that is not a valid request. */
 bool is_malformed(const boost::system::error_code& failed)
 {
     return failed.category() ==
@@ -75,30 +74,30 @@
     m_reading = true;
     m_stream->expires_after(
         m_host.limits().idle_timeout +
-        (m_pending.empty() ? duration::zero() : duration(longest_call)));
+        (m_pending.empty() ? duration::zero() : duration(max_call_time)));
     m_stream->async_read_some(
         m_buffer.prepare(first_read_bytes),
         [self = shared_from_this()](const boost::system::error_code& failed,
                                     std::size_t size)
-        { self->got_bytes(failed, size); });
+        { self->on_read(failed, size); });
 }
 
-void call_session::got_bytes(const boost::system::error_code& failed,
-                             std::size_t size)
+void call_session::on_read(const boost::system::error_code& failed,
+                           std::size_t size)
 {
     if (failed)
     {
         m_reading = false;
         if (m_linger_end)
-            m_linger_end->cancel(); // nothing is left to wait for
-        return m_closing ? void() : drop_all();
+            m_linger_end->cancel(); // the client has closed, too
+        return m_closing ? void() : abort();
     }
     m_arrived = m_worker.unseen_since();
     m_buffer.commit(size);
-    if (!m_closing) // still reading until the fiber has seen to the bytes
+    if (!m_closing) // m_reading stays set until the fiber has handled them
         return m_worker.spawn([self = shared_from_this()]
                               { self->read_calls(); });
-    // Behind the last answer: read away, so that closing does not reset.
+    // After the last answer: discard the input, see linger_time.
     m_buffer.clear();
     m_reading = false;
     if (m_stream->socket().is_open())
@@ -108,19 +107,19 @@
 void call_session::read_calls()
 {
     m_reading = true;
-    bool goes_on = true;
-    while (goes_on && m_buffer.size() != 0 && m_pending.size() < most_pending)
-        goes_on = read_call();
+    bool more = true;
+    while (more && m_buffer.size() != 0 && m_pending.size() < max_pending)
+        more = read_call();
     m_reading = false;
-    m_input_done = !goes_on;
+    m_input_done = !more;
     if (m_buffer.size() == 0)
     {
         m_buffer.clear();
         m_buffer.shrink_to_fit();
     }
-    const bool lingers = m_linger_end && m_stream->socket().is_open();
-    // With too many calls under way the next answer that is out reads on.
-    if (lingers || (goes_on && m_pending.size() < most_pending))
+    const bool is_lingering = m_linger_end && m_stream->socket().is_open();
+    // With the maximum of calls pending, write_ready resumes the reading.
+    if (is_lingering || (more && m_pending.size() < max_pending))
         wait_for_bytes();
 }
 
@@ -128,12 +127,12 @@
 {
     auto call = std::make_shared<pending_call>();
     request_fault fault;
-    const auto outcome = read_one(*call, fault);
+    const auto outcome = read_request(*call, fault);
     if (m_closing)
-        return false; // read behind the last answer: never handled
-    if (outcome == read_outcome::ended)
+        return false; // requests after the last answer are discarded
+    if (outcome == read_outcome::closed)
     {
-        drop_all();
+        abort();
         return false;
     }
     m_pending.push_back(call);
@@ -163,7 +162,7 @@
     if (!failed)
         return read_outcome::call;
     if (!is_malformed(failed))
-        return read_outcome::ended;
+        return read_outcome::closed;
     fault = fault_for(failed);
     return read_outcome::fault;
 }
@@ -186,12 +185,12 @@
         fault = {413, "the body is over the limit in force"};
         return false;
     }
-    const bool waits = boost::beast::iequals(parser.get()[http::field::expect],
-                                             "100-continue");
-    // With an answer due before this one the line would be taken for it.
-    if (waits && m_pending.empty() && !send_continue())
+    const bool awaits_continue = boost::beast::iequals(
+        parser.get()[http::field::expect], "100-continue");
+    // While an earlier answer is due, the client would take this line for it.
+    if (awaits_continue && m_pending.empty() && !send_continue())
         return false;
-    const byte_backlog::body on_its_way(m_host.incoming,
+    const byte_backlog::body in_transit(m_host.incoming,
                                         parser.content_length().value_or(0));
     m_stream->expires_after(body_timeout);
     boost::system::error_code failed;
@@ -201,8 +200,8 @@
     return !failed;
 }
 
-call_session::read_outcome call_session::read_one(pending_call& into,
-                                                  request_fault& fault)
+call_session::read_outcome call_session::read_request(pending_call& into,
+                                                      request_fault& fault)
 {
     request_parser parser;
     const auto limits = m_host.limits();
@@ -210,7 +209,7 @@
         outcome != read_outcome::call)
         return outcome;
     into.request.received = m_arrived;
-    m_arrived = m_worker.unseen_since(); // of what is behind it
+    m_arrived = m_worker.unseen_since(); // of the bytes that follow
     if (const auto bad = framing_fault(parser.get().base()); !bad.empty())
     {
         fault = {400, bad};
@@ -218,7 +217,7 @@
     }
     fault.status = 0;
     if (!parser.is_done() && !read_body(parser, limits, fault))
-        return fault.status == 0 ? read_outcome::ended : read_outcome::fault;
+        return fault.status == 0 ? read_outcome::closed : read_outcome::fault;
     into.request.message = parser.release();
     return read_outcome::call;
 }
@@ -237,7 +236,7 @@
 
 bool call_session::has_disconnected()
 {
-    return m_worker.busy_for() > read_soon && peer_has_closed(*m_stream);
+    return m_worker.busy_for() > busy_check_limit && peer_has_closed(*m_stream);
 }
 
 void call_session::finish(pending_call& call)
@@ -260,7 +259,7 @@
     }
     else if (!m_reading && !m_input_done)
     {
-        m_reading = true; // it was full of calls; now there is room
+        m_reading = true; // it was paused at the maximum of pending calls
         m_worker.spawn([self = shared_from_this()] { self->read_calls(); });
     }
 }
@@ -268,19 +267,19 @@
 void call_session::write_next()
 {
     const auto call = m_pending.front();
-    // Nothing may end the connection while calls behind this one run.
+    // The connection stays open while later calls are pending.
     if (m_pending.size() == 1 &&
-        (m_host.ending() || !call->response.keep_alive()))
+        (m_host.is_stopping() || !call->response.keep_alive()))
         call->last = true;
     const bool dropped = m_closing;
-    // From here on nothing that was read behind it is handled.
+    // From here on no further request of the connection is handled.
     m_closing = m_closing || call->last;
     const bool written = !dropped && write_one(*call);
     m_pending.pop_front();
     if (dropped)
         return;
     if (!written)
-        return drop_all();
+        return abort();
     boost::system::error_code ignored;
     if (call->last)
         m_stream->socket().shutdown(boost::asio::socket_base::shutdown_send,
@@ -293,7 +292,7 @@
     call.response.keep_alive(!call.last);
     const bool has_body = call.request.message.method() != http::verb::head;
     if (!has_body)
-        call.response.body().clear(); // its length stays told
+        call.response.body().clear(); // Content-Length stays
     if (m_host.outgoing != nullptr)
         m_host.outgoing->await_slot(call.response.body().size() + head_bytes,
                                     call.request.answer_due);
@@ -303,7 +302,7 @@
     return !failed;
 }
 
-void call_session::drop_all()
+void call_session::abort()
 {
     m_closing = true;
     boost::system::error_code ignored;
--- a/tests/integration/call_session.cpp
+++ b/tests/integration/call_session.cpp
@@ -27,7 +27,7 @@
                 return answer;
             };
             host.limits = [] { return client_limits{}; };
-            host.ending = [] { return false; };
+            host.is_stopping = [] { return false; };
             auto taken = listener::open(on, {"127.0.0.1", 0});
             REQUIRE(taken);
             (*taken)->start_taking(
--- a/tests/integration/pressed_worker.cpp
+++ b/tests/integration/pressed_worker.cpp
@@ -90,7 +90,7 @@
             return answer;
         };
         host.limits = [] { return client_limits{}; };
-        host.ending = [] { return false; };
+        host.is_stopping = [] { return false; };
         taken->start_taking(
             [this, &on](std::shared_ptr<tcp_stream> stream)
             { call_session::serve(on, std::move(stream), host); });
