--- a/include/tillerhall/http/call_session.hpp
+++ b/include/tillerhall/http/call_session.hpp
@@ -131,7 +131,7 @@
     void write_ready();
     void write_next();
     bool write_one(pending_call& call);
-    void abort();
+    void close_and_cancel();
     void linger();
 
     worker& m_worker;
--- a/src/http/call_session.cpp
+++ b/src/http/call_session.cpp
@@ -89,8 +89,8 @@
     {
         m_reading = false;
         if (m_linger_end)
-            m_linger_end->cancel(); // the client has closed, too
-        return m_closing ? void() : abort();
+            m_linger_end->cancel(); // the input has ended
+        return m_closing ? void() : close_and_cancel();
     }
     m_arrived = m_worker.unseen_since();
     m_buffer.commit(size);
@@ -132,7 +132,7 @@
         return false; // requests after the last answer are discarded
     if (outcome == read_outcome::closed)
     {
-        abort();
+        close_and_cancel();
         return false;
     }
     m_pending.push_back(call);
@@ -279,7 +279,7 @@
     if (dropped)
         return;
     if (!written)
-        return abort();
+        return close_and_cancel();
     boost::system::error_code ignored;
     if (call->last)
         m_stream->socket().shutdown(boost::asio::socket_base::shutdown_send,
@@ -302,7 +302,7 @@
     return !failed;
 }
 
-void call_session::abort()
+void call_session::close_and_cancel()
 {
     m_closing = true;
     boost::system::error_code ignored;
