--- a/include/tillerhall/http/exchange.hpp
+++ b/include/tillerhall/http/exchange.hpp
@@ -1,4 +1,4 @@
-/** @file One whole request out, one whole response back. */
+/** @file Sends one request and reads its response, both held in memory. */
 #pragma once
 
 #include "tillerhall/http/cancel_scope.hpp"
@@ -14,45 +14,45 @@
 /** How an exchange ended. */
 enum class exchange_end
 {
-    answered,  ///< a whole response with the request's id came
+    answered,  ///< a complete response with the request's id arrived
     not_sent,  ///< no byte of the request can have arrived
-    unknown,   ///< it may have arrived; no whole response came
-    timed_out, ///< as `unknown`, because the deadline passed
-    cancelled  ///< the client left
+    unknown,   ///< it may have arrived; no complete response did
+    timed_out, ///< as `unknown`, after the deadline
+    cancelled  ///< the client disconnected
 };
 
 std::string_view name_of(exchange_end end) noexcept;
 
-/** What to send and what to expect. */
+/** Deadline of an exchange, and how its response is recognized. */
 struct exchange_plan
 {
     time_point deadline;
     std::string id_field; ///< response field that must hold `id`
-    std::string id;       ///< responses with another id are skipped
+    std::string id;       ///< value of `id_field`; other responses are skipped
 };
 
 struct exchange_result
 {
     exchange_end end = exchange_end::unknown;
     std::optional<whole_response> response;
-    std::string detail;    ///< why, unless answered
-    bool reusable = false; ///< the stream may carry another exchange
-    unsigned skipped = 0;  ///< responses to somebody else's request
+    std::string detail;    ///< the reason, unless answered
+    bool reusable = false; ///< the stream can carry another exchange
+    unsigned skipped = 0;  ///< responses to other requests
 };
 
 /**
  * Sends @p request on @p stream and reads until the response with its id is
- * whole. A response may come before the request is sent; the stream is then
- * not reusable. A response without a length counts only when the stream ends
- * cleanly behind it. The stream is closed when @p scope is cancelled.
+ * complete. A response may arrive before the request is sent; the stream is
+ * then not reusable. A response without a length is complete only if the
+ * stream is closed cleanly after it. Cancelling @p scope closes the stream.
  */
 exchange_result exchange(tcp_stream& stream,
                          whole_request& request,
                          const exchange_plan& plan,
                          cancel_scope& scope);
 
-/** @return seconds for which the sender of @p response keeps its idle
- * connection, if it says so (RFC 9112, 9.3; Keep-Alive: timeout=N). */
+/** @return the timeout of the response's Keep-Alive field, after which its
+ * sender may close the idle connection; nullopt without one (RFC 9112, 9.3). */
 std::optional<std::chrono::seconds>
 idle_seconds_told(const whole_response& response);
 
--- a/src/http/exchange.cpp
+++ b/src/http/exchange.cpp
@@ -18,15 +18,15 @@
 
 constexpr std::array<std::string_view, 5> end_names{
     "answered", "not_sent", "unknown", "timed_out", "cancelled"};
-constexpr std::uint32_t largest_response_head = 32 * 1024;
-constexpr std::uint64_t largest_response_body = 64 * 1024 * 1024;
-// A body up to this size fits the socket's buffer, so that writing it does
-// not wait for the other side; measured with the default buffers of Linux.
+constexpr std::uint32_t max_response_head_bytes = 32 * 1024;
+constexpr std::uint64_t max_response_body_bytes = 64 * 1024 * 1024;
+// A body up to this size fits into a socket's default send buffer, so that
+// writing it does not wait for the peer to read.
 constexpr std::size_t inline_body_bytes = 8 * 1024;
-// More answers to others than this are no crossing but a broken sender.
-constexpr unsigned most_skipped = 4;
+// Late responses to earlier requests are skipped; more are a faulty sender.
+constexpr unsigned max_skipped = 4;
 
-/** One exchange; its steps over shared state. */
+/** The state and the steps of one exchange. */
 class exchange_run
 {
 public:
@@ -44,7 +44,7 @@
     exchange_result run()
     {
         if (m_scope.is_cancelled())
-            return ended(exchange_end::cancelled, "the client left");
+            return ended_with(exchange_end::cancelled, "the client left");
         const cancel_action action(m_scope, [this] { close(); });
         m_stream.expires_at(m_plan.deadline);
         if (m_request.body().size() <= inline_body_bytes)
@@ -54,9 +54,10 @@
                 read();
         }
         else
-            // The response may come before the body is out, so both at once.
+            // The response may come before the body is sent, so both run at
+            // once.
             run_parallel({[this] { write(); }, [this] { read(); }});
-        return conclude();
+        return make_result();
     }
 
 private:
@@ -67,7 +68,7 @@
         m_sent = !failed;
         m_write_failed = failed.failed();
         if (failed && !m_result.response)
-            note(failed, "sending failed");
+            fail(failed, "sending failed");
     }
 
     void read()
@@ -75,40 +76,40 @@
         while (true)
         {
             response_parser parser;
-            parser.header_limit(largest_response_head);
-            parser.body_limit(largest_response_body);
+            parser.header_limit(max_response_head_bytes);
+            parser.body_limit(max_response_body_bytes);
             parser.skip(m_request.method() == http::verb::head);
             boost::system::error_code failed;
             http::async_read(m_stream, m_buffer, parser, await{failed});
             if (failed)
-                return note(failed, "no whole response came");
+                return fail(failed, "no whole response came");
             if (parser.get().result_int() < 200)
                 continue; // an interim response
             if (parser.get()[m_plan.id_field] == m_plan.id)
-                return take(parser);
-            if (!parser.keep_alive() || ++m_result.skipped > most_skipped)
-                return note({}, "the response belongs to another request");
+                return accept(parser);
+            if (!parser.keep_alive() || ++m_result.skipped > max_skipped)
+                return fail({}, "the response belongs to another request");
         }
     }
 
-    void take(response_parser& parser)
+    void accept(response_parser& parser)
     {
         m_keep_alive = parser.keep_alive() && !parser.need_eof();
         m_result.response = parser.release();
-        // What is still to be sent belongs to a request that was answered.
+        // The request is answered: the rest of it need not be sent.
         if (!m_sent)
             close();
     }
 
-    /** Keeps the first failure. */
-    void note(const boost::system::error_code& failed, const char* what)
+    /** Records the first failure and closes the stream. */
+    void fail(const boost::system::error_code& failed, const char* what)
     {
         if (!m_result.detail.empty())
             return;
         m_timed_out = failed == boost::beast::error::timeout;
         m_result.detail =
             failed ? std::string(what) + ": " + failed.message() : what;
-        // Both directions end with the first failure of either.
+        // Ends the other direction, too.
         close();
     }
 
@@ -118,7 +119,7 @@
         m_stream.socket().close(ignored);
     }
 
-    exchange_result conclude()
+    exchange_result make_result()
     {
         if (m_result.response)
         {
@@ -127,15 +128,15 @@
             return std::move(m_result);
         }
         if (m_scope.is_cancelled())
-            return ended(exchange_end::cancelled, "the client left");
+            return ended_with(exchange_end::cancelled, "the client left");
         if (m_bytes_out == 0 && m_write_failed)
-            return ended(exchange_end::not_sent, m_result.detail);
-        return ended(m_timed_out ? exchange_end::timed_out
-                                 : exchange_end::unknown,
-                     m_result.detail);
+            return ended_with(exchange_end::not_sent, m_result.detail);
+        return ended_with(m_timed_out ? exchange_end::timed_out
+                                      : exchange_end::unknown,
+                          m_result.detail);
     }
 
-    exchange_result ended(exchange_end end, std::string detail)
+    exchange_result ended_with(exchange_end end, std::string detail)
     {
         m_result.end = end;
         m_result.detail = std::move(detail);
@@ -174,13 +175,13 @@
 idle_seconds_told(const whole_response& response)
 {
     constexpr std::string_view key = "timeout=";
-    const std::string_view told = response[http::field::keep_alive];
-    const auto at = told.find(key);
+    const std::string_view value = response[http::field::keep_alive];
+    const auto at = value.find(key);
     if (at == std::string_view::npos)
         return std::nullopt;
-    const auto* const begin = told.data() + at + key.size();
+    const auto* const begin = value.data() + at + key.size();
     std::int64_t seconds = 0;
-    if (std::from_chars(begin, told.data() + told.size(), seconds).ec !=
+    if (std::from_chars(begin, value.data() + value.size(), seconds).ec !=
         std::errc())
         return std::nullopt;
     return std::chrono::seconds(seconds);
