--- a/include/tillerhall/http/fields.hpp
+++ b/include/tillerhall/http/fields.hpp
@@ -1,4 +1,4 @@
-/** @file Names of the header fields that the mesh reads and writes. */
+/** @file Header fields that nodes read and write, and checks of heads. */
 #pragma once
 
 #include <boost/beast/http/fields.hpp>
@@ -16,18 +16,18 @@
 
 namespace field_name
 {
-/** Remaining milliseconds; from callers, between nodes and to targets. */
+/** Remaining time in ms; from callers, between nodes and to targets. */
 inline constexpr std::string_view deadline = "Tillerhall-Deadline-Ms";
-/** What became of a call that got no answer from its target. */
+/** Outcome of a call without an answer of its target. */
 inline constexpr std::string_view outcome = "Tillerhall-Outcome";
-/** The calling service, from entry to owner. */
+/** The calling service; from entry to owner. */
 inline constexpr std::string_view caller = "Tillerhall-Caller";
-/** The owner's load as a share of its limit, from owner to entry. */
+/** The owner's load as a share of its limit; from owner to entry. */
 inline constexpr std::string_view load = "Tillerhall-Load";
 inline constexpr std::string_view request_id = "X-Request-Id";
-/** By which a caller marks repeats of one operation. */
+/** Set by a caller, the same on all repeats of one operation. */
 inline constexpr std::string_view idempotency_key = "Idempotency-Key";
-/** Set in an answer that is given again. */
+/** Set on a stored answer that is sent for a repeat. */
 inline constexpr std::string_view replay = "Tillerhall-Replay";
 } // namespace field_name
 
@@ -38,22 +38,22 @@
 inline constexpr std::string_view already_ran = "already-ran";
 } // namespace outcome_value
 
-/** Removes fields that hold for one connection only (RFC 9110, 7.6.1). */
+/** Removes the hop-by-hop fields (RFC 9110, 7.6.1). */
 void remove_hop_fields(boost::beast::http::fields& fields);
 
-/** Removes the fields that only nodes may write. */
+/** Removes the fields that only nodes may set. */
 void remove_mesh_fields(boost::beast::http::fields& fields);
 
 /**
- * @return why @p head must be refused: ambiguous framing or host, by which
- * a request could be smuggled past one hop; empty when it is sound.
+ * @return why @p head must be refused: ambiguous framing or host, which would
+ * allow request smuggling; empty if it is valid.
  */
 std::string framing_fault(const request_head& head);
 
 /** @return the Host field without its port. */
 std::string host_service(const request_head& head);
 
-/** @return whether a method may be repeated by itself (RFC 9110, 9.2.2). */
+/** @return true if @p method is idempotent (RFC 9110, 9.2.2). */
 bool is_repeatable_method(boost::beast::http::verb method) noexcept;
 
 } // namespace tillerhall
--- a/src/http/fields.cpp
+++ b/src/http/fields.cpp
@@ -68,10 +68,10 @@
 
 bool is_repeatable_method(http::verb method) noexcept
 {
-    constexpr std::array repeatable{http::verb::get,     http::verb::head,
+    constexpr std::array idempotent{http::verb::get,     http::verb::head,
                                     http::verb::options, http::verb::trace,
                                     http::verb::put,     http::verb::delete_};
-    return std::ranges::find(repeatable, method) != repeatable.end();
+    return std::ranges::find(idempotent, method) != idempotent.end();
 }
 
 } // namespace tillerhall
