--- a/include/tillerhall/http/listener.hpp
+++ b/include/tillerhall/http/listener.hpp
@@ -1,4 +1,4 @@
-/** @file Accepts TCP connections and starts a fiber for each. */
+/** @file Accepts TCP connections on one address. */
 #pragma once
 
 #include "tillerhall/http/stream.hpp"
@@ -17,32 +17,33 @@
 public:
     using session = std::function<void(tcp_stream&)>;
 
-    /** Takes over a connection; it counts as open as long as it is held. */
-    using taker = std::function<void(std::shared_ptr<tcp_stream>)>;
+    /** Takes over a connection; it counts as open until its last owner drops
+     * it. */
+    using connection_handler = std::function<void(std::shared_ptr<tcp_stream>)>;
 
-    /** Connections at once; further ones are closed and counted. */
+    /** Maximum of open connections; further ones are closed and counted. */
     static constexpr std::size_t default_limit = 4096;
 
     /**
-     * Binds at once. Several workers may bind the same address; the kernel
-     * spreads connections over them.
-     * @return the listener, or why the address cannot be used.
+     * Binds the address. Several workers may bind the same address; the kernel
+     * distributes connections over them.
+     * @return the listener, or the error of the bind.
      */
     static result<std::unique_ptr<listener>>
     open(worker& on, const address& at, std::size_t limit = default_limit);
 
-    /** Starts accepting; @p body runs in a fiber per connection. */
+    /** Starts accepting; @p body runs on a fiber per connection. */
     void start(session body);
 
-    /** Starts accepting; @p take is called for each connection, outside any
-     * fiber, so that connections that rest cost no stack. */
-    void start_taking(taker take);
+    /** Starts accepting; @p handle is called for each connection. It needs no
+     * fiber per connection, so that idle connections take no stack. */
+    void start_taking(connection_handler handle);
 
-    /** Stops accepting; connections already open go on. */
+    /** Stops accepting; open connections stay open. */
     void close();
 
-    /** @return the address bound, its port chosen by the system if 0 was asked.
-     */
+    /** @return the bound address, with the port that the system chose if 0 was
+     * given. */
     const address& local() const noexcept { return m_local; }
 
     std::size_t open_connections() const noexcept { return m_open; }
@@ -53,12 +54,12 @@
 
     void accept_loop();
     /**
-     * One connection a turn of the worker let them wait unaccepted for two
-     * seconds while the worker had no time to spare: a turn handles all else
-     * that is ready, and nobody sees how long a connection waits here.
+     * Accepts all queued connections. On a saturated worker, where each pass
+     * of the event loop takes long, one per pass would leave them in the
+     * kernel's queue, where their waiting time is not seen.
      */
-    void take_all_waiting();
-    void take(std::shared_ptr<tcp_stream> stream);
+    void accept_queued();
+    void accept(std::shared_ptr<tcp_stream> stream);
     std::shared_ptr<tcp_stream> counted(std::shared_ptr<tcp_stream> stream);
 
     worker& m_worker;
@@ -69,7 +70,7 @@
     std::size_t m_limit;
     std::size_t m_open = 0;
     std::uint64_t m_refused = 0;
-    taker m_take;
+    connection_handler m_handle;
 };
 
 } // namespace tillerhall
--- a/src/http/listener.cpp
+++ b/src/http/listener.cpp
@@ -13,8 +13,8 @@
 using reuse_port =
     boost::asio::detail::socket_option::boolean<SOL_SOCKET, SO_REUSEPORT>;
 
-// After a failed accept (out of descriptors, most likely) the loop rests.
-constexpr milliseconds accept_rest(50);
+// Pause after a failed accept, most likely for lack of file descriptors.
+constexpr milliseconds accept_retry_delay(50);
 
 } // namespace
 
@@ -62,9 +62,9 @@
         { m_worker.spawn([body, stream] { body(*stream); }); });
 }
 
-void listener::start_taking(taker take)
+void listener::start_taking(connection_handler handle)
 {
-    m_take = std::move(take);
+    m_handle = std::move(handle);
     m_worker.spawn([this] { accept_loop(); });
 }
 
@@ -84,14 +84,14 @@
         if (failed == boost::asio::error::operation_aborted)
             return;
         if (failed)
-            sleep_for(m_worker.io(), accept_rest);
+            sleep_for(m_worker.io(), accept_retry_delay);
         else
-            take(std::move(stream));
-        take_all_waiting();
+            accept(std::move(stream));
+        accept_queued();
     }
 }
 
-void listener::take_all_waiting()
+void listener::accept_queued()
 {
     boost::system::error_code failed;
     while (m_acceptor.is_open())
@@ -99,17 +99,17 @@
         auto stream = std::make_shared<tcp_stream>(m_worker.io());
         m_acceptor.accept(stream->socket(), failed);
         if (failed)
-            return; // none waits, or the accepting that follows tells why
-        take(std::move(stream));
+            return; // the queue is empty, or the next async_accept fails, too
+        accept(std::move(stream));
     }
 }
 
-void listener::take(std::shared_ptr<tcp_stream> stream)
+void listener::accept(std::shared_ptr<tcp_stream> stream)
 {
     if (m_open >= m_limit)
         ++m_refused;
     else
-        m_take(counted(std::move(stream)));
+        m_handle(counted(std::move(stream)));
 }
 
 std::shared_ptr<tcp_stream>
@@ -118,8 +118,8 @@
     boost::system::error_code ignored;
     stream->socket().set_option(tcp::no_delay(true), ignored);
     ++m_open;
-    auto* const held = stream.get();
-    return {held, [this, stream](tcp_stream*) { --m_open; }};
+    auto* const raw = stream.get();
+    return {raw, [this, stream](tcp_stream*) { --m_open; }};
 }
 
 } // namespace tillerhall
