--- a/include/tillerhall/http/message.hpp
+++ b/include/tillerhall/http/message.hpp
@@ -1,4 +1,4 @@
-/** @file Whole small HTTP messages, for APIs rather than for proxied calls. */
+/** @file Small HTTP messages of APIs, as opposed to proxied calls. */
 #pragma once
 
 #include <map>
@@ -7,7 +7,7 @@
 namespace tillerhall
 {
 
-/** A request whose body has been read whole. */
+/** A complete request. */
 struct http_request
 {
     std::string method;
@@ -16,27 +16,27 @@
     std::string authorization;
     std::string body;
 
-    /** @return the query parameter @p name, or @p otherwise. */
+    /** @return the query parameter @p name, or @p fallback. */
     std::string param(const std::string& name,
-                      const std::string& otherwise = {}) const;
+                      const std::string& fallback = {}) const;
 };
 
-/** A response to be sent whole, or one received. */
+/** A response to send, or one received. */
 struct http_response
 {
     unsigned status = 200;
     std::string body;
     std::string content_type = "application/json";
-    std::map<std::string, std::string> fields; ///< of a response received
-    bool drop = false;        ///< a server closes instead of answering
-    std::size_t wire_in = 0;  ///< bytes read from the socket for it
-    std::size_t wire_out = 0; ///< bytes written to the socket for it
+    std::map<std::string, std::string> fields; ///< header fields, if received
+    bool drop = false;        ///< close the connection without an answer
+    std::size_t wire_in = 0;  ///< bytes read from the socket
+    std::size_t wire_out = 0; ///< bytes written to the socket
 };
 
 /** @return @p text with reserved characters percent-encoded. */
 std::string percent_encode(const std::string& text);
 
-/** Splits a request target into its decoded path and query of @p into. */
+/** Splits a request target into the decoded path and query of @p into. */
 void parse_target(const std::string& target, http_request& into);
 
 } // namespace tillerhall
--- a/include/tillerhall/http/whole_message.hpp
+++ b/include/tillerhall/http/whole_message.hpp
@@ -1,4 +1,4 @@
-/** @file Proxied requests and responses that are held whole in memory. */
+/** @file Proxied requests and responses held completely in memory. */
 #pragma once
 
 #include "tillerhall/core/time.hpp"
@@ -15,21 +15,21 @@
 using whole_response =
     boost::beast::http::response<boost::beast::http::string_body>;
 
-/** Frames @p response by its length. The answer to a HEAD request keeps the
- * length that it tells, though its body is empty. */
+/** Sets Content-Length. The answer to a HEAD request, whose body is empty,
+ * keeps the one that it has. */
 inline void frame_by_length(whole_response& response)
 {
     if (!response.body().empty() || !response.has_content_length())
         response.prepare_payload();
 }
 
-/** A request as it came in. */
+/** A request as it was received. */
 struct received_request
 {
     whole_request message;
-    /** When its head came, at the earliest; see `worker::unseen_since`. */
+    /** Earliest time at which its head came; see `worker::unseen_since`. */
     time_point received{};
-    /** By which the answer should have arrived; set by who answers. */
+    /** Time by which the answer should arrive; set by the code that answers. */
     time_point answer_due = time_point::max();
 };
 
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -9,10 +9,10 @@
 {
 
 std::string http_request::param(const std::string& name,
-                                const std::string& otherwise) const
+                                const std::string& fallback) const
 {
     const auto found = query.find(name);
-    return found == query.end() ? otherwise : found->second;
+    return found == query.end() ? fallback : found->second;
 }
 
 std::string percent_encode(const std::string& text)
