--- a/include/tillerhall/http/api_client.hpp
+++ b/include/tillerhall/http/api_client.hpp
@@ -1,4 +1,4 @@
-/** @file Calls small HTTP APIs over a few reused connections. */
+/** @file Calls small HTTP APIs over reused connections. */
 #pragma once
 
 #include "tillerhall/http/message.hpp"
@@ -10,18 +10,18 @@
 namespace tillerhall
 {
 
-/** A request to be sent whole. */
+/** A request to an API. */
 struct api_call
 {
     std::string method = "GET";
-    std::string target = "/"; ///< path and query, encoded
+    std::string target = "/"; ///< path and query, percent-encoded
     std::string body;
     std::string token; ///< bearer token, empty for none
     std::string host;  ///< Host field, empty for the server's address
-    std::map<std::string, std::string> fields; ///< further header fields
+    std::map<std::string, std::string> fields; ///< additional header fields
 };
 
-/** A client of one address, for fibers of one worker. */
+/** A client of one server, for fibers of one worker. */
 class api_client
 {
 public:
@@ -32,14 +32,14 @@
     }
 
     /**
-     * Sends one request and reads the answer whole.
-     * @return the response of any status; connection_failed means that
-     * nothing was sent, connection_lost and timed_out that the outcome is
-     * unknown.
+     * Sends one request and reads the complete answer.
+     * @return the response, whatever its status. connection_failed means that
+     * nothing was sent; connection_lost and timed_out mean that the outcome
+     * is unknown.
      */
-    result<http_response> send(const api_call& made, duration timeout);
+    result<http_response> send(const api_call& request, duration timeout);
 
-    /** Sends a request without further fields; see `send`. */
+    /** Sends a request without additional fields; see `send`. */
     result<http_response> call(const std::string& method,
                                const std::string& target,
                                const std::string& body,
--- a/include/tillerhall/http/api_server.hpp
+++ b/include/tillerhall/http/api_server.hpp
@@ -1,4 +1,4 @@
-/** @file Serves small HTTP APIs: whole requests in, whole responses out. */
+/** @file Serves small HTTP APIs. */
 #pragma once
 
 #include "tillerhall/http/message.hpp"
@@ -11,7 +11,7 @@
 
 using api_handler = std::function<http_response(const http_request&)>;
 
-/** Bounds of one API connection. */
+/** Limits of one API connection. */
 struct api_limits
 {
     std::size_t header_bytes = 16 * 1024;
@@ -19,7 +19,7 @@
     duration read_timeout = std::chrono::seconds(30);
 };
 
-/** Answers requests on @p stream until it closes or breaks a bound. */
+/** Answers requests on @p stream until it is closed or exceeds a limit. */
 void serve_api(tcp_stream& stream,
                const api_handler& handle,
                const api_limits& limits = {});
--- a/src/http/api_client.cpp
+++ b/src/http/api_client.cpp
@@ -11,25 +11,25 @@
 
 namespace http = boost::beast::http;
 
-constexpr std::size_t most_idle = 4;
-constexpr std::size_t largest_answer = 64 * 1024 * 1024;
+constexpr std::size_t max_idle = 4;
+constexpr std::size_t max_answer_bytes = 64 * 1024 * 1024;
 
-http::request<http::string_body> build(const api_call& made,
+http::request<http::string_body> build(const api_call& request,
                                        const address& server)
 {
-    http::request<http::string_body> request;
-    request.method_string(made.method);
-    request.target(made.target);
-    request.version(11);
-    request.set(http::field::host,
-                made.host.empty() ? server.text() : made.host);
-    if (!made.token.empty())
-        request.set(http::field::authorization, "Bearer " + made.token);
-    for (const auto& [name, value] : made.fields)
-        request.set(name, value);
-    request.body() = made.body;
-    request.prepare_payload();
-    return request;
+    http::request<http::string_body> message;
+    message.method_string(request.method);
+    message.target(request.target);
+    message.version(11);
+    message.set(http::field::host,
+                request.host.empty() ? server.text() : request.host);
+    if (!request.token.empty())
+        message.set(http::field::authorization, "Bearer " + request.token);
+    for (const auto& [name, value] : request.fields)
+        message.set(name, value);
+    message.body() = request.body;
+    message.prepare_payload();
+    return message;
 }
 
 } // namespace
@@ -46,34 +46,35 @@
     return connect_stream(m_io, m_server, timeout);
 }
 
-result<http_response> api_client::send(const api_call& made, duration timeout)
+result<http_response> api_client::send(const api_call& request,
+                                       duration timeout)
 {
     auto taken = take_stream(timeout);
     if (!taken)
         return taken.reason();
     auto stream = std::move(*taken);
     stream->expires_after(timeout);
-    const auto request = build(made, m_server);
+    const auto message = build(request, m_server);
     boost::system::error_code failed;
     http_response response;
-    response.wire_out = http::async_write(*stream, request, await{failed});
+    response.wire_out = http::async_write(*stream, message, await{failed});
     if (failed)
         return stream_error(failed, "cannot send to", m_server);
     boost::beast::flat_buffer buffer;
     http::response_parser<http::string_body> parser;
-    parser.body_limit(largest_answer);
-    parser.skip(made.method == "HEAD");
+    parser.body_limit(max_answer_bytes);
+    parser.skip(request.method == "HEAD");
     response.wire_in = http::async_read(*stream, buffer, parser, await{failed});
     if (failed)
         return stream_error(failed, "no whole answer from", m_server);
-    auto& message = parser.get();
-    response.status = message.result_int();
-    response.content_type = std::string(message[http::field::content_type]);
-    response.body = std::move(message.body());
-    for (const auto& each : message)
+    auto& answer = parser.get();
+    response.status = answer.result_int();
+    response.content_type = std::string(answer[http::field::content_type]);
+    response.body = std::move(answer.body());
+    for (const auto& each : answer)
         response.fields[std::string(each.name_string())] =
             std::string(each.value());
-    if (message.keep_alive() && m_idle.size() < most_idle)
+    if (answer.keep_alive() && m_idle.size() < max_idle)
         m_idle.push_back(std::move(stream));
     return response;
 }
--- a/src/http/api_server.cpp
+++ b/src/http/api_server.cpp
@@ -31,7 +31,7 @@
     return 400;
 }
 
-/** @return whether the response went out whole. */
+/** @return true if the complete response was sent. */
 bool send(tcp_stream& stream, const http_response& response, bool keep_alive)
 {
     http::response<http::string_body> message(
