--- a/include/tillerhall/http/stream_pool.hpp
+++ b/include/tillerhall/http/stream_pool.hpp
@@ -1,4 +1,4 @@
-/** @file Idle connections to several addresses, kept for another call. */
+/** @file A pool of idle connections to several addresses. */
 #pragma once
 
 #include "tillerhall/http/stream.hpp"
@@ -10,22 +10,23 @@
 namespace tillerhall
 {
 
-/** Connections of one worker. Only one that ended cleanly is given back. */
+/** Connections of one worker. A stream may be given back only if its last
+ * exchange ended cleanly. */
 class stream_pool
 {
 public:
     /**
-     * @param most_idle kept for each address
-     * @param from_ip own IP number to connect from
-     * @param user_timeout a stream ends when what was sent on it is not
-     * acknowledged for so long; 0 leaves it to the system
+     * @param max_idle maximum of idle streams kept for each address
+     * @param from_ip local IP address to connect from
+     * @param user_timeout a stream fails when sent data is not acknowledged
+     * for so long; 0 leaves it to the system
      */
     stream_pool(boost::asio::io_context& io,
-                std::size_t most_idle,
+                std::size_t max_idle,
                 std::string from_ip,
                 duration user_timeout = duration::zero())
         : m_io(io)
-        , m_most_idle(most_idle)
+        , m_max_idle(max_idle)
         , m_from_ip(std::move(from_ip))
         , m_user_timeout(user_timeout)
     {
@@ -36,30 +37,31 @@
                                              duration timeout);
 
     /**
-     * Opens a new stream to @p to, whatever idle ones there are, and keeps it
-     * for another call.
-     * @return how that failed, if it did.
+     * Opens a new stream to @p to, even if there are idle ones, and keeps it as
+     * idle.
+     * @return the error of the connect, if it failed.
      */
     boost::system::error_code
     probe(const address& to, duration timeout, duration usable_for);
 
     /**
-     * Keeps @p stream for another call.
-     * @param usable_for after that the other side may close it unseen
+     * Keeps @p stream as idle.
+     * @param usable_for time after which it is no longer used, since the peer
+     * may close it
      */
     void give_back(const address& to,
                    std::unique_ptr<tcp_stream> stream,
                    duration usable_for = std::chrono::hours(1));
 
-    /** @return how many idle streams are kept, to all addresses. */
+    /** @return the number of idle streams to all addresses. */
     std::size_t idle_count() const;
 
-    /** Drops idle streams to addresses other than those in use lately. */
-    void trim(std::size_t most_addresses);
+    /** Drops idle streams until they are to @p max_addresses at most. */
+    void trim(std::size_t max_addresses);
 
 private:
     boost::asio::io_context& m_io;
-    std::size_t m_most_idle;
+    std::size_t m_max_idle;
     std::string m_from_ip;
     duration m_user_timeout;
     struct idle_stream
@@ -68,10 +70,10 @@
         time_point usable_until;
     };
 
-    void drop_unusable(time_point now);
+    void drop_expired(time_point now);
 
     std::map<address, std::vector<idle_stream>> m_idle;
-    time_point m_swept{}; ///< when streams past their time were dropped last
+    time_point m_last_sweep{}; ///< time of the last drop_expired
 };
 
 } // namespace tillerhall
--- a/src/http/stream_pool.cpp
+++ b/src/http/stream_pool.cpp
@@ -6,8 +6,8 @@
 {
 namespace
 {
-// Streams past their time are dropped with the next one that is given back.
-constexpr std::chrono::seconds sweep_pause(1);
+// Expired streams are dropped when one is given back, at most this often.
+constexpr std::chrono::seconds sweep_interval(1);
 } // namespace
 
 std::size_t stream_pool::idle_count() const
@@ -17,11 +17,11 @@
                            { return sum + each.second.size(); });
 }
 
-void stream_pool::drop_unusable(time_point now)
+void stream_pool::drop_expired(time_point now)
 {
-    if (now < m_swept + sweep_pause)
+    if (now < m_last_sweep + sweep_interval)
         return;
-    m_swept = now;
+    m_last_sweep = now;
     for (auto& [to, idle] : m_idle)
         std::erase_if(idle, [now](const idle_stream& each)
                       { return now >= each.usable_until; });
@@ -61,19 +61,19 @@
                             duration usable_for)
 {
     const auto now = steady_clock::now();
-    drop_unusable(now);
+    drop_expired(now);
     auto& idle = m_idle[to];
     stream->expires_never();
-    if (idle.size() < m_most_idle)
+    if (idle.size() < m_max_idle)
         idle.push_back({std::move(stream), now + usable_for});
 }
 
-void stream_pool::trim(std::size_t most_addresses)
+void stream_pool::trim(std::size_t max_addresses)
 {
-    if (m_idle.size() > most_addresses)
+    if (m_idle.size() > max_addresses)
         std::erase_if(m_idle,
                       [](const auto& each) { return each.second.empty(); });
-    while (m_idle.size() > most_addresses)
+    while (m_idle.size() > max_addresses)
         m_idle.erase(m_idle.begin());
 }
 
