--- a/include/tillerhall/rpc/client_pool.hpp
+++ b/include/tillerhall/rpc/client_pool.hpp
@@ -1,4 +1,4 @@
-/** @file Calls other nodes over a bounded set of reused connections. */
+/** @file Calls other nodes over a bounded pool of connections. */
 #pragma once
 
 #include "tillerhall/http/stream.hpp"
@@ -14,7 +14,7 @@
 
 class rpc_connection;
 
-/** What of a call to a peer. */
+/** One call to a peer. */
 struct rpc_call
 {
     address peer;
@@ -25,24 +25,28 @@
 };
 
 /**
- * Client connections of one worker, the idle ones kept in order of use.
- * A connection carries one call at a time and is dropped after any failure,
- * so that a late answer can never reach a later call.
+ * Client connections of one worker; the least recently used idle one is
+ * evicted. A connection carries one call at a time and is closed after any
+ * failure, so that a late answer cannot reach a later call.
  */
 class rpc_client_pool
 {
 public:
+    /**
+     * @param max_idle maximum of idle connections, to all peers together
+     * @param from_ip local IP address to connect from
+     */
     rpc_client_pool(boost::asio::io_context& io,
                     traffic_counters& traffic,
-                    std::size_t most_idle,
+                    std::size_t max_idle,
                     std::string from_ip);
     ~rpc_client_pool();
 
     /**
-     * @return the answer's members; connection_failed means the peer was
-     * never reached, a peer's own refusal comes back as its error code.
+     * @return the members of the answer, or an error: connection_failed if no
+     * connection was request, the peer's own error code if it refused the call.
      */
-    result<boost::json::object> call(const rpc_call& made);
+    result<boost::json::object> call(const rpc_call& request);
 
 private:
     std::unique_ptr<rpc_connection> take_idle(const address& peer);
@@ -50,7 +54,7 @@
 
     boost::asio::io_context& m_io;
     traffic_counters& m_traffic;
-    std::size_t m_most_idle;
+    std::size_t m_max_idle;
     std::string m_from_ip;
     std::list<std::unique_ptr<rpc_connection>> m_idle; ///< newest first
 };
--- a/src/rpc/client_pool.cpp
+++ b/src/rpc/client_pool.cpp
@@ -8,24 +8,24 @@
 namespace
 {
 
-error call_error(const rpc_call& made, const rpc_reply& reply)
+error call_error(const rpc_call& request, const rpc_reply& reply)
 {
     const auto code = reply.status == rpc_status::transport_failed
                           ? error_code::connection_lost
                           : error_code::protocol_error;
-    return error(code,
-                 made.method + " to " + made.peer.text() + ": " + reply.text);
+    return error(code, request.method + " to " + request.peer.text() + ": " +
+                           reply.text);
 }
 
-/** @return the answer, or the refusal that the peer put into it. */
-result<boost::json::object> read_answer(const rpc_call& made,
+/** @return the answer, or the error that the peer returned in it. */
+result<boost::json::object> read_answer(const rpc_call& request,
                                         const std::string& text)
 {
     boost::system::error_code failed;
     auto value = boost::json::parse(text, failed);
     if (failed || !value.is_object())
         return error(error_code::protocol_error,
-                     made.method + " to " + made.peer.text() +
+                     request.method + " to " + request.peer.text() +
                          ": the answer is not an object");
     auto& answer = value.as_object();
     const auto* refused = answer.if_contains("e");
@@ -42,36 +42,39 @@
 
 rpc_client_pool::rpc_client_pool(boost::asio::io_context& io,
                                  traffic_counters& traffic,
-                                 std::size_t most_idle,
+                                 std::size_t max_idle,
                                  std::string from_ip)
     : m_io(io)
     , m_traffic(traffic)
-    , m_most_idle(most_idle)
+    , m_max_idle(max_idle)
     , m_from_ip(std::move(from_ip))
 {
 }
 
 rpc_client_pool::~rpc_client_pool() = default;
 
-result<boost::json::object> rpc_client_pool::call(const rpc_call& made)
+result<boost::json::object> rpc_client_pool::call(const rpc_call& request)
 {
-    auto connection = take_idle(made.peer);
+    auto connection = take_idle(request.peer);
     if (!connection)
     {
-        auto opened = connect_stream(m_io, made.peer, made.timeout, m_from_ip);
+        auto opened =
+            connect_stream(m_io, request.peer, request.timeout, m_from_ip);
         if (!opened)
             return opened.reason();
         connection =
-            std::make_unique<rpc_connection>(made.peer, std::move(*opened));
+            std::make_unique<rpc_connection>(request.peer, std::move(*opened));
     }
     connection->reset_bytes();
-    const auto reply = connection->call(
-        made.method, boost::json::serialize(made.params), made.timeout);
-    m_traffic.add(made.kind, connection->bytes_in(), connection->bytes_out());
+    const auto reply =
+        connection->call(request.method, boost::json::serialize(request.params),
+                         request.timeout);
+    m_traffic.add(request.kind, connection->bytes_in(),
+                  connection->bytes_out());
     if (reply.status != rpc_status::ok)
-        return call_error(made, reply);
+        return call_error(request, reply);
     give_back(std::move(connection));
-    return read_answer(made, reply.text);
+    return read_answer(request, reply.text);
 }
 
 std::unique_ptr<rpc_connection> rpc_client_pool::take_idle(const address& peer)
@@ -92,7 +95,7 @@
 void rpc_client_pool::give_back(std::unique_ptr<rpc_connection> used)
 {
     m_idle.push_front(std::move(used));
-    if (m_idle.size() > m_most_idle)
+    if (m_idle.size() > m_max_idle)
         m_idle.pop_back();
 }
 
