--- a/include/tillerhall/rpc/codec.hpp
+++ b/include/tillerhall/rpc/codec.hpp
@@ -1,7 +1,7 @@
 /**
- * @file JSON-RPC 2.0 over libjsonrpccpp behind plain types.
+ * @file JSON-RPC 2.0 by libjsonrpccpp, wrapped in standard types.
  *
- * Usable from C++14: the library's headers do not compile as C++17 or later.
+ * Must compile as C++14: the library's headers do not compile as C++17.
  */
 #pragma once
 
@@ -14,12 +14,12 @@
 {
 
 /**
- * @return whether @p text nests arrays and objects at most 32 deep. The
- * library's parser recurses, so deeper text could overrun a fiber's stack.
+ * @return true if arrays and objects of @p text nest at most 32 deep. The
+ * library's parser is recursive; deeper text could overflow a fiber's stack.
  */
 bool is_shallow(const std::string& text);
 
-/** How a frame or a call ended. */
+/** The result of handling a frame or of a call. */
 enum class rpc_status
 {
     ok,
@@ -30,7 +30,7 @@
     transport_failed
 };
 
-/** A call's answer: JSON text when ok, else the reason. */
+/** The answer to a call: JSON text if ok, else the reason. */
 struct rpc_reply
 {
     rpc_status status;
@@ -42,8 +42,8 @@
 {
 public:
     /**
-     * Sends one frame and waits for the answering frame.
-     * @return false when the exchange failed; the text is then the reason.
+     * Sends one frame and waits for the frame that answers it.
+     * @return false on failure; @p answer is then the reason.
      */
     using exchange =
         std::function<bool(const std::string& request, std::string& answer)>;
@@ -59,7 +59,7 @@
     std::unique_ptr<state> m_state;
 };
 
-/** Decodes request frames and dispatches them to one handler. */
+/** Decodes request frames, calls one handler and encodes its results. */
 class rpc_server_codec
 {
 public:
@@ -75,7 +75,7 @@
 
     /**
      * @param answer receives the frame to send back, without a newline
-     * @return ok, or the reason why the connection should be closed.
+     * @return ok, or the reason for which the connection should be closed.
      */
     rpc_status handle(const std::string& frame, std::string& answer);
 
--- a/src/rpc/codec/client_codec.cpp
+++ b/src/rpc/codec/client_codec.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-/** Joins libjsonrpccpp to whatever carries the frames. */
+/** The connector of libjsonrpccpp; passes frames to the transport. */
 class connector : public jsonrpc::IClientConnector
 {
 public:
@@ -69,12 +69,12 @@
 struct rpc_client_codec::state
 {
     explicit state(exchange transport)
-        : carrier(std::move(transport))
-        , client(carrier)
+        : adapter(std::move(transport))
+        , client(adapter)
     {
     }
 
-    connector carrier;
+    connector adapter;
     jsonrpc::Client client;
 };
 
--- a/src/rpc/codec/nesting.cpp
+++ b/src/rpc/codec/nesting.cpp
@@ -5,17 +5,17 @@
 
 bool is_shallow(const std::string& text)
 {
-    constexpr int deepest = 32;
+    constexpr int max_depth = 32;
     int depth = 0;
     bool in_string = false;
     for (std::size_t i = 0; i < text.size(); ++i)
     {
         const char c = text[i];
         if (in_string && c == '\\')
-            ++i; // the escaped character ends nothing
+            ++i; // an escaped quote does not end the string
         else if (c == '"')
             in_string = !in_string;
-        else if (!in_string && (c == '[' || c == '{') && ++depth > deepest)
+        else if (!in_string && (c == '[' || c == '{') && ++depth > max_depth)
             return false;
         else if (!in_string && (c == ']' || c == '}'))
             --depth;
--- a/src/rpc/codec/server_codec.cpp
+++ b/src/rpc/codec/server_codec.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-/** A connector that only hands frames in; the caller sends the answers. */
+/** A connector without transport: frames are passed in by `handle`. */
 class frame_connector : public jsonrpc::AbstractServerConnector
 {
 public:
@@ -34,20 +34,20 @@
     return value;
 }
 
-/** Sends every method to the one dispatch function. */
+/** Calls the dispatch function for every method. */
 class dispatcher : public jsonrpc::AbstractServer<dispatcher>
 {
 public:
-    dispatcher(frame_connector& carrier,
+    dispatcher(frame_connector& adapter,
                const std::vector<std::string>& names,
                rpc_server_codec::handler dispatch)
-        : AbstractServer(carrier)
+        : AbstractServer(adapter)
         , m_dispatch(std::move(dispatch))
     {
         for (const auto& method : names)
             bindAndAddMethod(jsonrpc::Procedure(method, jsonrpc::PARAMS_BY_NAME,
                                                 jsonrpc::JSON_OBJECT, NULL),
-                             &dispatcher::ignored);
+                             &dispatcher::unused);
     }
 
     void HandleMethodCall(jsonrpc::Procedure& called,
@@ -59,7 +59,7 @@
     }
 
 private:
-    void ignored(const Json::Value&, Json::Value&) {}
+    void unused(const Json::Value&, Json::Value&) {}
 
     rpc_server_codec::handler m_dispatch;
 };
@@ -81,11 +81,11 @@
 struct rpc_server_codec::state
 {
     state(const std::vector<std::string>& methods, handler dispatch)
-        : server(carrier, methods, std::move(dispatch))
+        : server(adapter, methods, std::move(dispatch))
     {
     }
 
-    frame_connector carrier;
+    frame_connector adapter;
     dispatcher server;
 };
 
@@ -102,13 +102,12 @@
 {
     if (!is_shallow(frame))
         return rpc_status::not_json;
-    m_state->carrier.GetHandler()->HandleRequest(frame, answer);
+    m_state->adapter.GetHandler()->HandleRequest(frame, answer);
     while (!answer.empty() && answer.back() == '\n')
         answer.pop_back();
-    // A well-formed answer starts with its id or result; only a short one can
-    // be an error, so large results are not parsed again.
-    constexpr std::size_t longest_error = 512;
-    if (answer.size() > longest_error)
+    // Error answers are short, so longer ones are not parsed again.
+    constexpr std::size_t max_error_bytes = 512;
+    if (answer.size() > max_error_bytes)
         return rpc_status::ok;
     return status_of(parse_text(answer));
 }
