--- a/include/tillerhall/rpc/connection.hpp
+++ b/include/tillerhall/rpc/connection.hpp
@@ -1,4 +1,4 @@
-/** @file One client connection that carries JSON-RPC frames. */
+/** @file A client connection for JSON-RPC frames. */
 #pragma once
 
 #include "tillerhall/http/stream.hpp"
@@ -10,7 +10,7 @@
 namespace tillerhall
 {
 
-/** An open connection to a peer, for one call at a time. */
+/** A connection to a peer, for one call at a time. */
 class rpc_connection
 {
 public:
@@ -18,7 +18,7 @@
 
     /**
      * @param params JSON text of an object
-     * @param timeout for the whole exchange
+     * @param timeout from sending the request to the end of the answer
      */
     rpc_reply call(const std::string& method,
                    const std::string& params,
@@ -27,7 +27,7 @@
     const address& peer() const noexcept { return m_peer; }
     tcp_stream& stream() noexcept { return *m_stream; }
 
-    /** @return bytes in and out since the last call of `reset_bytes`. */
+    /** @return bytes received and sent since the last `reset_bytes`. */
     std::size_t bytes_in() const noexcept { return m_bytes_in; }
     std::size_t bytes_out() const noexcept { return m_bytes_out; }
     void reset_bytes() noexcept { m_bytes_in = m_bytes_out = 0; }
--- a/include/tillerhall/rpc/server.hpp
+++ b/include/tillerhall/rpc/server.hpp
@@ -1,4 +1,4 @@
-/** @file Serves JSON-RPC frames, one a line, on TCP connections. */
+/** @file Serves JSON-RPC frames, one per line, on TCP connections. */
 #pragma once
 
 #include "tillerhall/http/stream.hpp"
@@ -16,15 +16,15 @@
 
 class metrics_registry;
 
-/** The methods of one kind of process and the fibers that answer them. */
+/** Dispatches calls to the methods of one kind of process. */
 class rpc_server
 {
 public:
     using method =
         std::function<boost::json::object(const boost::json::object& params)>;
 
-    /** Longest frame; a whole table and a whole member list fit well below. */
-    static constexpr std::size_t longest_frame = 4 * 1024 * 1024;
+    /** Maximum size of a frame; a table or a member list is well below. */
+    static constexpr std::size_t max_frame_bytes = 4 * 1024 * 1024;
 
     rpc_server(traffic_counters& traffic, metrics_registry& metrics)
         : m_traffic(traffic)
@@ -32,12 +32,12 @@
     {
     }
 
-    /** Adds a method; its bytes are counted under @p kind. */
+    /** Adds a method; its traffic is counted under @p kind. */
     void add(const std::string& name, traffic_kind kind, method body);
 
     /**
-     * Answers frames until the connection closes or sends a bad frame. A bad
-     * frame closes this connection only and is counted by its kind.
+     * Answers frames until the connection is closed. A malformed frame closes
+     * this connection only and is counted with the reason.
      */
     void serve(tcp_stream& stream);
 
--- a/src/rpc/connection.cpp
+++ b/src/rpc/connection.cpp
@@ -37,7 +37,7 @@
     if (!failed)
         m_bytes_in += boost::asio::async_read_until(
             *m_stream,
-            boost::asio::dynamic_buffer(buffer, rpc_server::longest_frame),
+            boost::asio::dynamic_buffer(buffer, rpc_server::max_frame_bytes),
             '\n', await{failed});
     answer = failed ? failed.message() : buffer;
     return !failed;
--- a/src/rpc/server.cpp
+++ b/src/rpc/server.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-// An idle control connection is closed; its client opens another at need.
+// An idle connection is closed after this; clients reconnect when needed.
 constexpr std::chrono::minutes idle_timeout(2);
 constexpr std::chrono::seconds write_timeout(30);
 
@@ -50,7 +50,7 @@
     }
     catch (const std::exception& thrown)
     {
-        // A missing or mistyped member: the peer's message is at fault.
+        // A member of the peer's message is missing or of another type.
         m_metrics.get("tillerhall_rpc_bad_message_total").add();
         return boost::json::serialize(boost::json::object{
             {"e", name_of(error_code::protocol_error)}, {"d", thrown.what()}});
@@ -85,7 +85,7 @@
         boost::system::error_code failed;
         stream.expires_after(idle_timeout);
         const auto size = boost::asio::async_read_until(
-            stream, boost::asio::dynamic_buffer(buffer, longest_frame), '\n',
+            stream, boost::asio::dynamic_buffer(buffer, max_frame_bytes), '\n',
             await{failed});
         if (failed == boost::asio::error::not_found)
             count_bad_frame("too_long");
