--- a/tests/unit/rpc_and_metrics.cpp
+++ b/tests/unit/rpc_and_metrics.cpp
@@ -8,7 +8,7 @@
 
 using namespace tillerhall;
 
-TEST_CASE("a call passes both codecs, and its refusals are told apart")
+TEST_CASE("a call passes both codecs, and each refusal has its status")
 {
     rpc_server_codec server({"add"},
                             [](const std::string&, const std::string& params)
@@ -33,7 +33,7 @@
                         answer) == rpc_status::unknown_method);
 }
 
-TEST_CASE("text that nests too deep is refused before it is parsed")
+TEST_CASE("text nested too deeply is refused before it is parsed")
 {
     CHECK(is_shallow(R"({"a":[{"b":"[[[[\"[["}]})"));
     CHECK(is_shallow(std::string(32, '[') + std::string(32, ']')));
@@ -45,7 +45,7 @@
           rpc_status::not_json);
 }
 
-TEST_CASE("a failed exchange is a failed call")
+TEST_CASE("a failed exchange makes the call fail as a transport failure")
 {
     rpc_client_codec client(
         [](const std::string&, std::string& answer)
