--- a/tests/integration/call_session.cpp
+++ b/tests/integration/call_session.cpp
@@ -1,4 +1,4 @@
-/** @file What a session counts as not answered yet. */
+/** @file Which calls a session counts as unanswered. */
 #include "tillerhall/http/call_session.hpp"
 #include "tillerhall/core/await.hpp"
 #include "tillerhall/core/worker.hpp"
@@ -10,10 +10,9 @@
 
 using namespace tillerhall;
 
-TEST_CASE("an answer counts until its last byte was taken, so that a node that "
-          "stops waits for it")
+TEST_CASE("a call counts as unanswered until its answer is sent completely")
 {
-    // More than the buffers of two sockets hold.
+    // More than the send and receive buffers of the sockets hold.
     constexpr std::size_t large = 32 * 1024 * 1024;
     run_main_fiber(
         [&](worker& on)
@@ -28,12 +27,12 @@
             };
             host.limits = [] { return client_limits{}; };
             host.is_stopping = [] { return false; };
-            auto taken = listener::open(on, {"127.0.0.1", 0});
-            REQUIRE(taken);
-            (*taken)->start_taking(
+            auto server = listener::open(on, {"127.0.0.1", 0});
+            REQUIRE(server);
+            (*server)->start_taking(
                 [&](std::shared_ptr<tcp_stream> stream)
                 { call_session::serve(on, std::move(stream), host); });
-            auto client = connect_stream(on.io(), (*taken)->local(),
+            auto client = connect_stream(on.io(), (*server)->local(),
                                          std::chrono::seconds(5), "127.0.0.1");
             REQUIRE(client);
             boost::system::error_code failed;
