--- a/tests/integration/pressed_worker.cpp
+++ b/tests/integration/pressed_worker.cpp
@@ -1,20 +1,7 @@
 /**
- * @file What clients get from a node that has no processor time to spare.
- *
- * Users saw calls held past the time-out of their route, without any answer,
- * and targets that ran calls whose clients had left one to two seconds before.
- * Targets of one service turned slow, then traffic doubled. Each try asked
- * three full owners, so telling refusals took all the processor time that the
- * nodes had. From then on new connections waited unaccepted: the listener took
- * one a turn of the worker, while a turn handled everything else that was
- * ready. A call's clock began when its head was read, so a call that had waited
- * for one or two seconds was led and run as if it had just come.
- *
- * Evidence: nodes at their whole allowance and 2,000 connections open at one
- * node while it told calls of two seconds as 5 to 14 ms old; a trace of each
- * call from its sending to its target shows the second between sending and
- * reading, 20 ms to the owner's reading, and up to 450 calls a second that went
- * on though the end of their connection could be read.
+ * @file Calls on a saturated worker: connections are accepted without delay,
+ * the waiting time of unread calls counts, and calls whose clients have
+ * disconnected do not start.
  */
 #include "tillerhall/core/await.hpp"
 #include "tillerhall/core/worker.hpp"
@@ -34,7 +21,7 @@
 
 const std::string request = "GET / HTTP/1.1\r\nHost: a\r\n\r\n";
 
-/** A connection that the kernel has set up and nobody has accepted yet. */
+/** A blocking client socket; the kernel connects it before any accept. */
 class raw_client
 {
 public:
@@ -48,7 +35,7 @@
         REQUIRE(::connect(m_socket, reinterpret_cast<const sockaddr*>(&at),
                           sizeof at) == 0);
     }
-    ~raw_client() { leave(); }
+    ~raw_client() { disconnect(); }
     raw_client(const raw_client&) = delete;
     raw_client& operator=(const raw_client&) = delete;
 
@@ -58,7 +45,7 @@
                 static_cast<ssize_t>(request.size()));
     }
 
-    void leave()
+    void disconnect()
     {
         if (m_socket >= 0)
             ::close(m_socket);
@@ -69,18 +56,18 @@
     int m_socket;
 };
 
-/** What the node saw of one call when its work began. */
-struct begun_call
+/** What the node knew of one call when it started. */
+struct started_call
 {
     time_point received;
-    bool client_was_seen_to_leave = false;
+    bool is_cancelled = false;
 };
 
-/** Sessions that note each call as its work begins and answer it empty. */
-struct noting_host
+/** A server that records each call as it starts and answers it empty. */
+struct recording_server
 {
-    explicit noting_host(worker& on)
-        : taken(std::move(*listener::open(on, {"127.0.0.1", 0})))
+    explicit recording_server(worker& on)
+        : server(std::move(*listener::open(on, {"127.0.0.1", 0})))
     {
         host.answer = [this](received_request& call, cancel_scope& scope)
         {
@@ -91,109 +78,109 @@
         };
         host.limits = [] { return client_limits{}; };
         host.is_stopping = [] { return false; };
-        taken->start_taking(
+        server->start_taking(
             [this, &on](std::shared_ptr<tcp_stream> stream)
             { call_session::serve(on, std::move(stream), host); });
     }
 
-    std::unique_ptr<listener> taken;
+    std::unique_ptr<listener> server;
     session_host host;
-    std::vector<begun_call> calls;
+    std::vector<started_call> calls;
 };
 
-void burn(duration span)
+void spin(duration time)
 {
-    const auto until = steady_clock::now() + span;
+    const auto until = steady_clock::now() + time;
     while (steady_clock::now() < until)
     {
     }
 }
 
-/** Runs @p body with sessions that outlive the fibers of their connections. */
-void with_host(const std::function<void(worker&, noting_host&)>& body)
+/** Runs @p body with a server that outlives the fibers of its sessions. */
+void with_server(const std::function<void(worker&, recording_server&)>& body)
 {
     run_main_fiber(
         [&](worker& on)
         {
-            body(on, *new noting_host(on));
+            body(on, *new recording_server(on));
             return 0;
         });
 }
 
 } // namespace
 
-TEST_CASE("a busy worker takes all connections that wait, not one a turn")
+TEST_CASE("a busy worker accepts all queued connections in one pass")
 {
-    with_host(
-        [](worker&, noting_host& node)
+    with_server(
+        [](worker&, recording_server& node)
         {
             constexpr std::size_t waiting = 100;
-            // Accepting, reading and beginning a call are turns of their own.
-            constexpr std::size_t few_turns = 12;
+            // Accepting, reading and starting a call take a pass each.
+            constexpr std::size_t max_passes = 12;
             std::vector<std::unique_ptr<raw_client>> clients;
             for (std::size_t i = 0; i < waiting; ++i)
             {
                 clients.push_back(
-                    std::make_unique<raw_client>(node.taken->local()));
+                    std::make_unique<raw_client>(node.server->local()));
                 clients.back()->send();
             }
-            std::size_t turns = 0;
-            while (node.calls.size() < waiting && turns < 10 * waiting)
+            std::size_t passes = 0;
+            while (node.calls.size() < waiting && passes < 10 * waiting)
             {
-                burn(milliseconds(1)); // other work of each turn
+                spin(milliseconds(1)); // other work of each pass
                 boost::this_fiber::yield();
-                ++turns;
+                ++passes;
             }
             REQUIRE(node.calls.size() == waiting);
-            CHECK(turns <= few_turns);
+            CHECK(passes <= max_passes);
         });
 }
 
-TEST_CASE("a call's clock runs while its bytes wait for a busy worker")
+TEST_CASE("the age of a call includes its wait for a busy worker")
 {
-    with_host(
-        [](worker& on, noting_host& node)
+    with_server(
+        [](worker& on, recording_server& node)
         {
-            const raw_client client(node.taken->local());
-            sleep_for(on.io(), milliseconds(20)); // accepted, and at rest
+            const raw_client client(node.server->local());
+            sleep_for(on.io(), milliseconds(20)); // accepted and idle
             const auto sent = steady_clock::now();
             client.send();
-            burn(milliseconds(400));
+            spin(milliseconds(400));
             sleep_for(on.io(), milliseconds(20));
             REQUIRE(node.calls.size() == 1);
             CHECK(to_ms(node.calls.front().received - sent) < 100);
         });
 }
 
-TEST_CASE("a last look finds a client that left while the worker was busy")
+TEST_CASE("is_cancelled_now detects a disconnect while the worker was busy")
 {
-    with_host(
-        [](worker& on, noting_host& node)
+    with_server(
+        [](worker& on, recording_server& node)
         {
-            raw_client client(node.taken->local());
-            bool was_told = true;
-            bool was_seen = false;
+            raw_client client(node.server->local());
+            bool was_cancelled = true;
+            bool is_cancelled = false;
             node.host.answer = [&](received_request&, cancel_scope& scope)
             {
-                client.leave();
-                burn(milliseconds(100));
-                was_told = scope.is_cancelled();
-                was_seen = scope.is_cancelled_now();
+                client.disconnect();
+                spin(milliseconds(100));
+                was_cancelled = scope.is_cancelled();
+                is_cancelled = scope.is_cancelled_now();
                 return whole_response(boost::beast::http::status::ok, 11);
             };
             client.send();
             sleep_for(on.io(), milliseconds(300));
-            CHECK_FALSE(was_told);
-            CHECK(was_seen);
+            CHECK_FALSE(was_cancelled);
+            CHECK(is_cancelled);
         });
 }
 
-TEST_CASE("an idle worker does not take a new call for an old one")
+TEST_CASE("a new call on an idle worker has no age")
 {
-    with_host(
-        [](worker& on, noting_host& node)
+    with_server(
+        [](worker& on, recording_server& node)
         {
-            const raw_client client(node.taken->local());
+            const raw_client client(node.server->local());
             sleep_for(on.io(), milliseconds(400));
             const auto sent = steady_clock::now();
             client.send();
@@ -203,23 +190,23 @@
         });
 }
 
-TEST_CASE("a call whose client left while it waited unread does not begin")
+TEST_CASE("a call whose client disconnected before it was read does not start")
 {
-    with_host(
-        [](worker& on, noting_host& node)
+    with_server(
+        [](worker& on, recording_server& node)
         {
             constexpr int waiting = 50;
             for (int i = 0; i < waiting; ++i)
             {
-                raw_client client(node.taken->local());
+                raw_client client(node.server->local());
                 client.send();
-                client.leave();
+                client.disconnect();
             }
-            burn(milliseconds(50));
+            spin(milliseconds(50));
             sleep_for(on.io(), milliseconds(300));
-            const auto begun = std::ranges::count_if(
-                node.calls, [](const begun_call& each)
-                { return !each.client_was_seen_to_leave; });
-            CHECK(begun == 0);
+            const auto started =
+                std::ranges::count_if(node.calls, [](const started_call& each)
+                                      { return !each.is_cancelled; });
+            CHECK(started == 0);
         });
 }
