--- a/tests/integration/pressed_worker.cpp
+++ b/tests/integration/pressed_worker.cpp
@@ -158,20 +158,20 @@
         [](worker& on, recording_server& node)
         {
             raw_client client(node.server->local());
-            bool was_cancelled = true;
-            bool is_cancelled = false;
+            bool before_check = true;
+            bool after_check = false;
             node.host.answer = [&](received_request&, cancel_scope& scope)
             {
                 client.disconnect();
                 spin(milliseconds(100));
-                was_cancelled = scope.is_cancelled();
-                is_cancelled = scope.is_cancelled_now();
+                before_check = scope.is_cancelled();
+                after_check = scope.is_cancelled_now();
                 return whole_response(boost::beast::http::status::ok, 11);
             };
             client.send();
             sleep_for(on.io(), milliseconds(300));
-            CHECK_FALSE(was_cancelled);
-            CHECK(is_cancelled);
+            CHECK_FALSE(before_check);
+            CHECK(after_check);
         });
 }
 
