--- a/include/tillerhall/http/stream_pool.hpp
+++ b/include/tillerhall/http/stream_pool.hpp
@@ -56,7 +56,7 @@
     /** @return the number of idle streams to all addresses. */
     std::size_t idle_count() const;
 
-    /** Drops idle streams until they are to @p max_addresses at most. */
+    /** Drops idle streams to all but @p max_addresses addresses. */
     void trim(std::size_t max_addresses);
 
 private:
