--- a/include/tillerhall/http/call_session.hpp
+++ b/include/tillerhall/http/call_session.hpp
@@ -144,7 +144,8 @@
     bool m_reading = false;    ///< reading, or handling what was read
     bool m_input_done = false; ///< no further request will be read
     bool m_writing = false;
-    bool m_closing = false; ///< the last answer is written or the client left
+    bool m_closing =
+        false; ///< the last answer is written or the stream is closed
 };
 
 } // namespace tillerhall
