--- a/src/http/relay.cpp
+++ b/src/http/relay.cpp
@@ -34,14 +34,14 @@
     relay_result run()
     {
         m_upstream.expires_at(m_plan.deadline);
-        const bool sent = m_call.is_whole() ? send_whole() : send_pieces();
+        const bool sent = m_call.is_whole() ? send_buffered() : send_streamed();
         if (sent && read_answer_head() && !handle_refusal())
             answer();
         return std::move(m_result);
     }
 
 private:
-    bool send_whole()
+    bool send_buffered()
     {
         http::request<http::string_body> request(m_plan.head);
         request.body() = m_call.prefix();
@@ -64,7 +64,7 @@
         return false;
     }
 
-    bool send_pieces()
+    bool send_streamed()
     {
         http::request<http::buffer_body> request(m_plan.head);
         if (const auto length = m_call.length())
@@ -248,12 +248,12 @@
         // The deadline of the caller's stream is set apart from the upstream's.
         m_call.stream().expires_at(m_plan.deadline);
         if (m_parser->is_done())
-            answer_whole(size);
+            answer_buffered(size);
         else
-            answer_pieces(size);
+            answer_streamed(size);
     }
 
-    void answer_whole(std::size_t size)
+    void answer_buffered(std::size_t size)
     {
         http::response<http::string_body> response(answer_head());
         response.body().assign(m_piece.data(), size);
@@ -272,7 +272,7 @@
         finish(failed);
     }
 
-    void answer_pieces(std::size_t size)
+    void answer_streamed(std::size_t size)
     {
         http::response<http::buffer_body> response(answer_head());
         const auto length = m_parser->content_length();
