--- a/src/http/relay.cpp
+++ b/src/http/relay.cpp
@@ -155,6 +155,8 @@
         return true;
     }
 
+    /** Reads the load that a peer reports, and a refusal.
+     * @return true if the head is a refusal. */
     bool handle_refusal()
     {
         const auto& head = m_parser->get();
