--- a/include/tillerhall/core/address.hpp
+++ b/include/tillerhall/core/address.hpp
@@ -1,4 +1,4 @@
-/** @file An IP number and port. */
+/** @file An IP address and port. */
 #pragma once
 
 #include "tillerhall/core/result.hpp"
@@ -11,7 +11,7 @@
 namespace tillerhall
 {
 
-/** Where a process listens: an IP number in text form and a port. */
+/** A socket address: an IP address in text form and a port. */
 struct address
 {
     std::string ip;
@@ -20,7 +20,7 @@
     /** @return "ip:port". */
     std::string text() const;
 
-    /** @return the address written in @p text as "ip:port", names refused. */
+    /** Parses "ip:port"; host names give invalid_argument. */
     static result<address> parse(std::string_view text);
 
     auto operator<=>(const address&) const = default;
