--- a/include/tillerhall/core/await.hpp
+++ b/include/tillerhall/core/await.hpp
@@ -12,7 +12,10 @@
 namespace tillerhall
 {
 
-/** Passed to an Asio operation; the failure goes into @p failed. */
+/**
+ * Passed to an Asio operation: suspends the calling fiber until the operation
+ * completes, stores its error in `failed` and returns its result.
+ */
 struct await
 {
     boost::system::error_code& failed;
@@ -21,7 +24,7 @@
 namespace internal
 {
 
-/** What the waiting fiber and the completion handler share. */
+/** State shared by the waiting fiber and the completion handler. */
 template <class Value>
 struct await_state
 {
@@ -32,7 +35,7 @@
 
     void wait()
     {
-        // Handlers run on this thread's main fiber, so no lock is needed.
+        // Completion handlers run on the same thread, so no lock is needed.
         while (!done)
         {
             waiter = boost::fibers::context::active();
@@ -63,10 +66,10 @@
         state->finish();
     }
 
-    template <class Given>
-    void operator()(boost::system::error_code failed, Given&& given)
+    template <class Result>
+    void operator()(boost::system::error_code failed, Result&& arg)
     {
-        state->value = std::forward<Given>(given);
+        state->value = std::forward<Result>(arg);
         (*this)(failed);
     }
 };
