--- a/include/tillerhall/core/backoff.hpp
+++ b/include/tillerhall/core/backoff.hpp
@@ -1,4 +1,4 @@
-/** @file Waiting times between attempts. */
+/** @file Delays between attempts. */
 #pragma once
 
 #include "tillerhall/core/random.hpp"
@@ -8,29 +8,30 @@
 {
 
 /**
- * Decorrelated jitter: each wait is random between the least and three times
- * the one before, so that many that failed together come back spread out.
+ * Exponential backoff with decorrelated jitter: each delay is random between
+ * the minimum and three times the previous delay, so that clients that failed
+ * together do not retry together.
  */
 class backoff
 {
 public:
-    backoff(duration least, duration most) noexcept
-        : m_least(least)
-        , m_most(most)
-        , m_last(least)
+    backoff(duration min_wait, duration max_wait) noexcept
+        : m_min_wait(min_wait)
+        , m_max_wait(max_wait)
+        , m_last_wait(min_wait)
     {
     }
 
-    /** @return how long to wait before the next attempt. */
+    /** @return the delay before the next attempt. */
     duration next(random_source& random) noexcept;
 
-    /** Starts again from the least wait, after a success. */
-    void reset() noexcept { m_last = m_least; }
+    /** Resets the delay to the minimum, after a success. */
+    void reset() noexcept { m_last_wait = m_min_wait; }
 
 private:
-    duration m_least;
-    duration m_most;
-    duration m_last;
+    duration m_min_wait;
+    duration m_max_wait;
+    duration m_last_wait;
 };
 
 } // namespace tillerhall
--- a/src/core/backoff.cpp
+++ b/src/core/backoff.cpp
@@ -8,12 +8,12 @@
 duration backoff::next(random_source& random) noexcept
 {
     constexpr int growth = 3;
-    const auto span = static_cast<std::uint64_t>(
-        std::max<duration::rep>(1, (m_last * growth - m_least).count()));
-    const duration chosen =
-        m_least + duration(static_cast<duration::rep>(random.below(span)));
-    m_last = std::min(m_most, chosen);
-    return m_last;
+    const auto span = static_cast<std::uint64_t>(std::max<duration::rep>(
+        1, (m_last_wait * growth - m_min_wait).count()));
+    const duration next_wait =
+        m_min_wait + duration(static_cast<duration::rep>(random.below(span)));
+    m_last_wait = std::min(m_max_wait, next_wait);
+    return m_last_wait;
 }
 
 } // namespace tillerhall
