--- a/include/tillerhall/core/base64.hpp
+++ b/include/tillerhall/core/base64.hpp
@@ -1,4 +1,4 @@
-/** @file Bytes as text of 64 signs (RFC 4648), as JSON can carry them. */
+/** @file Base64 (RFC 4648). */
 #pragma once
 
 #include "tillerhall/core/result.hpp"
@@ -9,10 +9,10 @@
 namespace tillerhall
 {
 
-/** @return @p plain as text, padded. */
-std::string encode_base64(std::string_view plain);
+/** @return @p bytes in Base64 with padding. */
+std::string encode_base64(std::string_view bytes);
 
-/** @return the bytes of @p text; bad_syntax if it is not such a text. */
+/** @return the decoded bytes; bad_syntax if @p text is not Base64. */
 result<std::string> decode_base64(std::string_view text);
 
 } // namespace tillerhall
