--- a/include/tillerhall/core/digest.hpp
+++ b/include/tillerhall/core/digest.hpp
@@ -1,4 +1,4 @@
-/** @file Digests of contents and stable hashes of names. */
+/** @file Content digests and a hash that is the same on every host. */
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 /** @return the first 128 bits of SHA-256 of @p text, as 32 hex digits. */
 std::string digest_of(std::string_view text);
 
-/** @return FNV-1a of @p text with its bits mixed; the same on every host. */
+/** @return FNV-1a of @p text after `mix_bits`; the same on every host. */
 std::uint64_t stable_hash(std::string_view text) noexcept;
 
 } // namespace tillerhall
