--- a/include/tillerhall/core/error.hpp
+++ b/include/tillerhall/core/error.hpp
@@ -1,5 +1,4 @@
-/** @file Error codes, their table of names and remedies, and the error value.
- */
+/** @file Error codes with their names and remedies, and the error value. */
 #pragma once
 
 #include <string>
@@ -8,7 +7,7 @@
 namespace tillerhall
 {
 
-/** Every kind of failure the library reports. */
+/** The kinds of failure that the library reports. */
 enum class error_code
 {
     none,
@@ -34,36 +33,36 @@
     internal_error
 };
 
-/** @return the stable name of @p code, as used in JSON and logs. */
+/** @return the name of @p code in JSON and logs; it does not change. */
 std::string_view name_of(error_code code) noexcept;
 
-/** @return what an operator can do about @p code. */
+/** @return the standard advice to an operator for @p code. */
 std::string_view remedy_of(error_code code) noexcept;
 
 /** @return the code called @p name, or internal_error for an unknown name. */
 error_code error_code_named(std::string_view name) noexcept;
 
-/** A failure: its code, what exactly failed, and the causes below it. */
+/** A failure: its code, a detail with its causes, and a remedy. */
 class error
 {
 public:
     error() = default;
 
     /**
-     * @param code the kind
      * @param detail what failed, with the offending value
-     * @param remedy empty takes the code's standard remedy
+     * @param remedy what the operator can do; if empty, the standard remedy of
+     * @p code
      */
     error(error_code code, std::string detail, std::string remedy = {});
 
-    /** @return this error with @p cause written behind it. */
+    /** @return this error with @p cause appended to its detail. */
     error caused_by(const error& cause) &&;
 
     error_code code() const noexcept { return m_code; }
     const std::string& detail() const noexcept { return m_detail; }
     const std::string& remedy() const noexcept { return m_remedy; }
 
-    /** @return "name: detail (cause; ...). Remedy: ..." in one line. */
+    /** @return "name: detail (cause: ...). Remedy: ..." on one line. */
     std::string message() const;
 
 private:
