--- a/include/tillerhall/core/fiber_scheduler.hpp
+++ b/include/tillerhall/core/fiber_scheduler.hpp
@@ -1,4 +1,4 @@
-/** @file Boost.Fiber scheduling that shares its thread with an io_context. */
+/** @file A Boost.Fiber scheduler that shares its thread with an io_context. */
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -10,11 +10,11 @@
 {
 
 /**
- * First in, first out over the ready fibers of one thread.
+ * Runs the ready fibers of one thread in first-in, first-out order.
  *
  * The thread's main fiber polls the io_context, and blocks in it only while
- * `runnable()` is 0. All waiting goes through Asio, so Boost.Fiber's own
- * timed waits must not be used on a worker.
+ * `runnable()` is 0. Fibers wait through Asio only; Boost.Fiber's own timed
+ * waits must not be used on a worker.
  */
 class fiber_scheduler : public boost::fibers::algo::algorithm
 {
@@ -30,10 +30,10 @@
     void suspend_until(
         const std::chrono::steady_clock::time_point& until) noexcept override;
 
-    /** Called from any thread when a fiber of this one became ready. */
+    /** Wakes this thread when a fiber becomes ready; for any thread. */
     void notify() noexcept override;
 
-    /** @return ready fibers, the main and the dispatcher fiber not counted. */
+    /** @return ready fibers without the main and the dispatcher fiber. */
     std::size_t runnable() const noexcept { return m_runnable; }
 
 private:
--- a/src/core/fiber_scheduler.cpp
+++ b/src/core/fiber_scheduler.cpp
@@ -38,7 +38,7 @@
 void fiber_scheduler::suspend_until(
     const std::chrono::steady_clock::time_point& until) noexcept
 {
-    // Reached only when the main fiber itself waits, as at shutdown.
+    // Called only when the main fiber itself waits, as at shutdown.
     m_io.run_one_until(std::min(until, std::chrono::steady_clock::now() +
                                            std::chrono::milliseconds(10)));
 }
