--- a/include/tillerhall/core/heap.hpp
+++ b/include/tillerhall/core/heap.hpp
@@ -1,14 +1,14 @@
-/** @file How the process's heap grows. */
+/** @file Settings of malloc for this process. */
 #pragma once
 
 namespace tillerhall
 {
 
 /**
- * Keeps large buffers (a version of the routes, a page of rows, a body) out of
- * the heap that small objects share. Without a fixed limit the allocator takes
- * them from there once one was freed, and what small objects then leave between
- * them stays with the process. To be called before the first worker starts.
+ * Fixes glibc's mmap threshold, so that large buffers (a version of the routes,
+ * a page of rows, a body) are mapped and go back to the system when they are
+ * freed. By default the threshold grows with each freed buffer, and large
+ * buffers then fragment the heap. Call it before the first worker starts.
  */
 void keep_large_buffers_apart();
 
--- a/src/core/heap.cpp
+++ b/src/core/heap.cpp
@@ -7,19 +7,18 @@
 namespace
 {
 
-// Bodies of calls are mostly smaller and come by the hundred a second: mapping
-// each would cost more than it saves. Routes and rows of a large mesh are
-// larger.
-constexpr int large_buffer_bytes = 96 * 1024;
-// Free space at the end of the heap is given back from here on.
-constexpr int kept_at_end_bytes = 256 * 1024;
+// Above the size of most call bodies, for which a system call each would cost
+// too much, and below that of the routes and row pages of a large mesh.
+constexpr int mmap_threshold_bytes = 96 * 1024;
+// Free space at the top of the heap that is returned to the system.
+constexpr int trim_threshold_bytes = 256 * 1024;
 
 } // namespace
 
 void keep_large_buffers_apart()
 {
-    mallopt(M_MMAP_THRESHOLD, large_buffer_bytes);
-    mallopt(M_TRIM_THRESHOLD, kept_at_end_bytes);
+    mallopt(M_MMAP_THRESHOLD, mmap_threshold_bytes);
+    mallopt(M_TRIM_THRESHOLD, trim_threshold_bytes);
 }
 
 } // namespace tillerhall
