--- a/include/tillerhall/core/packing.hpp
+++ b/include/tillerhall/core/packing.hpp
@@ -1,4 +1,4 @@
-/** @file Long texts made short for the way between nodes. */
+/** @file Compression of long texts in messages between nodes. */
 #pragma once
 
 #include "tillerhall/core/result.hpp"
@@ -10,15 +10,15 @@
 namespace tillerhall
 {
 
-/** No text that is unpacked may be longer: a few thousand routes have 1 MB. */
+/** The largest text that `unpack_text` returns, in bytes. */
 inline constexpr std::size_t longest_unpacked = 32 * 1024 * 1024;
 
-/** @return @p text compressed (zlib) and as signs that JSON can carry. */
+/** @return @p text compressed by zlib, in Base64. */
 std::string pack_text(std::string_view text);
 
 /**
- * @return the text that was packed; bad_syntax or corrupt if it was damaged,
- * too_large if it is over `longest_unpacked`.
+ * @return the original text; bad_syntax or corrupt if @p packed is damaged,
+ * too_large if the text is longer than `longest_unpacked`.
  */
 result<std::string> unpack_text(std::string_view packed);
 
--- a/src/core/packing.cpp
+++ b/src/core/packing.cpp
@@ -10,21 +10,20 @@
 namespace
 {
 
-// A node with a tenth of a core packs 200 KB in 20 ms at this level and in
-// some 80 ms at the default one, which saves a fifth more.
-constexpr int level = Z_BEST_SPEED;
-// On the stack of a fiber, which keeps each page that was used once.
-constexpr std::size_t step_bytes = 4 * 1024;
+// Favors processor time over size.
+constexpr int compression_level = Z_BEST_SPEED;
+// Small, since the chunk is on the stack of a fiber.
+constexpr std::size_t chunk_bytes = 4 * 1024;
 
-/** A decompression under way; frees what the library holds. */
+/** Owns the state of a zlib decompression. */
 class inflater
 {
 public:
-    explicit inflater(std::string_view from)
+    explicit inflater(std::string_view compressed)
     {
         m_state.next_in = reinterpret_cast<Bytef*>(
-            const_cast<char*>(from.data())); // the library does not write it
-        m_state.avail_in = static_cast<uInt>(from.size());
+            const_cast<char*>(compressed.data())); // zlib does not write to it
+        m_state.avail_in = static_cast<uInt>(compressed.size());
         m_status = inflateInit(&m_state);
     }
     ~inflater() { inflateEnd(&m_state); }
@@ -34,10 +33,10 @@
     bool at_end() const { return m_status == Z_STREAM_END; }
     bool failed() const { return m_status != Z_OK && !at_end(); }
 
-    /** Appends what the next step yields. */
+    /** Decompresses up to one chunk and appends it to @p into. */
     void step(std::string& into)
     {
-        std::array<char, step_bytes> chunk;
+        std::array<char, chunk_bytes> chunk;
         m_state.next_out = reinterpret_cast<Bytef*>(chunk.data());
         m_state.avail_out = static_cast<uInt>(chunk.size());
         m_status = inflate(&m_state, Z_NO_FLUSH);
@@ -57,7 +56,7 @@
     std::string bytes(size, '\0');
     compress2(reinterpret_cast<Bytef*>(bytes.data()), &size,
               reinterpret_cast<const Bytef*>(text.data()),
-              static_cast<uLong>(text.size()), level);
+              static_cast<uLong>(text.size()), compression_level);
     bytes.resize(size);
     return encode_base64(bytes);
 }
@@ -68,14 +67,14 @@
     if (!bytes)
         return bytes.reason();
     std::string text;
-    inflater running(*bytes);
-    while (!running.at_end() && !running.failed())
+    inflater stream(*bytes);
+    while (!stream.at_end() && !stream.failed())
     {
-        running.step(text);
+        stream.step(text);
         if (text.size() > longest_unpacked)
             return error(error_code::too_large, "a packed text");
     }
-    if (running.failed())
+    if (stream.failed())
         return error(error_code::corrupt, "a packed text is damaged");
     return text;
 }
