--- a/include/tillerhall/core/published.hpp
+++ b/include/tillerhall/core/published.hpp
@@ -1,4 +1,4 @@
-/** @file A value that one thread replaces and others read. */
+/** @file An immutable value that one thread replaces and others read. */
 #pragma once
 
 #include <boost/smart_ptr/intrusive_ptr.hpp>
@@ -8,8 +8,8 @@
 {
 
 /**
- * Holds the current of a sequence of immutable values.
- * Lock order: a leaf; nothing else is locked while its mutex is held.
+ * Holds a pointer to the current value; readers share ownership of it.
+ * Lock order: a leaf; no other mutex is locked while its own is held.
  */
 template <class T>
 class published
@@ -22,18 +22,18 @@
     {
     }
 
-    /** @return the current value; it stays valid while it is held. */
+    /** @return the current value; valid while the pointer exists. */
     pointer get() const
     {
         const std::lock_guard lock(m_mutex);
         return m_current;
     }
 
-    /** Replaces the value; readers see the old one or the new one whole. */
+    /** Replaces the value; readers get either the old or the new one. */
     void set(pointer next)
     {
         const std::lock_guard lock(m_mutex);
-        m_current.swap(next); // the old one is released outside the lock
+        m_current.swap(next); // `next` frees the old one after unlocking
     }
 
 private:
