--- a/include/tillerhall/core/random.hpp
+++ b/include/tillerhall/core/random.hpp
@@ -1,4 +1,4 @@
-/** @file A small seedable random source that decisions are handed. */
+/** @file A small seedable random number generator. */
 #pragma once
 
 #include <cstdint>
@@ -7,8 +7,8 @@
 namespace tillerhall
 {
 
-/** SplitMix64 (Steele et al., OOPSLA 2014): one word of state, fixed by its
- * seed. */
+/** SplitMix64 (Steele et al., OOPSLA 2014); equal seeds give equal sequences.
+ */
 class random_source
 {
 public:
@@ -37,7 +37,7 @@
     std::uint64_t m_state;
 };
 
-/** @return @p value with its bits mixed; the same on every machine. */
+/** @return the SplitMix64 finalizer of @p value. */
 std::uint64_t mix_bits(std::uint64_t value) noexcept;
 
 /** @return a seed that differs from process to process. */
