--- a/include/tillerhall/core/recent_window.hpp
+++ b/include/tillerhall/core/recent_window.hpp
@@ -1,4 +1,4 @@
-/** @file Counts of the last one to two spans of time. */
+/** @file Counts over a recent window of time. */
 #pragma once
 
 #include "tillerhall/core/time.hpp"
@@ -7,9 +7,9 @@
 {
 
 /**
- * Counts of the span that is on and of the one before it, so that what is
- * told follows the last one to two spans however little is counted. @p Counts
- * begins at zero. Pure.
+ * Counts in fixed spans of time and keeps two: the current one and its
+ * predecessor, which together cover the last one to two spans. A value-
+ * initialized @p Counts must be zero. Reads no clock.
  */
 template <class Counts>
 class recent_window
@@ -20,33 +20,33 @@
     {
     }
 
-    /** @return the counts to add to at @p now. */
+    /** @return the counts of the current span, to be added to. */
     Counts& newest(time_point now)
     {
-        turn(now);
+        rotate(now);
         return m_newest;
     }
 
-    /** @return the counts of the span before the one that is on at @p now. */
+    /** @return the counts of the span that precedes the current one. */
     const Counts& before(time_point now)
     {
-        turn(now);
-        return m_before;
+        rotate(now);
+        return m_previous;
     }
 
 private:
-    void turn(time_point now)
+    void rotate(time_point now)
     {
         if (now < m_begin + m_span)
             return;
-        m_before = now < m_begin + 2 * m_span ? m_newest : Counts{};
+        m_previous = now < m_begin + 2 * m_span ? m_newest : Counts{};
         m_newest = {};
         m_begin = now;
     }
 
     duration m_span;
     Counts m_newest{};
-    Counts m_before{};
+    Counts m_previous{};
     time_point m_begin{};
 };
 
