--- a/include/tillerhall/core/result.hpp
+++ b/include/tillerhall/core/result.hpp
@@ -1,4 +1,4 @@
-/** @file A value or the reason why there is none. */
+/** @file A value or an error. */
 #pragma once
 
 #include "tillerhall/core/error.hpp"
@@ -9,7 +9,7 @@
 namespace tillerhall
 {
 
-/** An optional value that keeps the last reason for its absence. */
+/** A value, or the error because of which there is none. */
 template <class T>
 class result
 {
@@ -31,7 +31,7 @@
     T* operator->() noexcept { return &*m_value; }
     const T* operator->() const noexcept { return &*m_value; }
 
-    /** @return the failure; its code is `none` when there is a value. */
+    /** @return the error; its code is `none` when there is a value. */
     const error& reason() const noexcept { return m_reason; }
 
 private:
@@ -39,7 +39,7 @@
     error m_reason;
 };
 
-/** The outcome of an operation that yields nothing. */
+/** Success, or the error of an operation that returns no value. */
 template <>
 class result<void>
 {
