--- a/include/tillerhall/core/token_bucket.hpp
+++ b/include/tillerhall/core/token_bucket.hpp
@@ -6,7 +6,7 @@
 namespace tillerhall
 {
 
-/** Holds up to `burst` tokens and gains `per_second` of them. Pure. */
+/** Holds up to `burst` tokens, refilled at `per_second`. Reads no clock. */
 class token_bucket
 {
 public:
@@ -17,13 +17,13 @@
     {
     }
 
-    /** @return whether a token was there to take at @p now. */
+    /** Takes a token. @return false if there was none at @p now. */
     bool take(time_point now) noexcept;
 
-    /** @return how long after @p now the next token is there; 0 if it is. */
+    /** @return the time until a token is available; 0 if one is. */
     duration wait(time_point now) noexcept;
 
-    /** Changes the rate; tokens already held stay, up to the new burst. */
+    /** Changes the limits; tokens above the new burst are dropped. */
     void set_rate(double per_second, double burst) noexcept;
 
 private:
@@ -32,7 +32,7 @@
     double m_per_second;
     double m_burst;
     double m_tokens;
-    time_point m_filled{};
+    time_point m_refilled_at{};
     bool m_started = false;
 };
 
--- a/src/core/token_bucket.cpp
+++ b/src/core/token_bucket.cpp
@@ -7,12 +7,12 @@
 
 void token_bucket::refill(time_point now) noexcept
 {
-    if (m_started && now > m_filled)
+    if (m_started && now > m_refilled_at)
     {
-        const std::chrono::duration<double> passed = now - m_filled;
+        const std::chrono::duration<double> passed = now - m_refilled_at;
         m_tokens = std::min(m_burst, m_tokens + passed.count() * m_per_second);
     }
-    m_filled = m_started ? std::max(now, m_filled) : now;
+    m_refilled_at = m_started ? std::max(now, m_refilled_at) : now;
     m_started = true;
 }
 
