--- a/src/core/worker.cpp
+++ b/src/core/worker.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-// JSON parsing and Beast's operations need about 20 KB at the deepest.
+// Well above the deepest use, by JSON parsing and Beast's operations.
 constexpr std::size_t stack_bytes = 128 * 1024;
 
 boost::fibers::fiber start_fiber(worker::task body)
@@ -41,14 +41,14 @@
         if (is_idle && !m_stopped)
         {
             m_io.run_one();
-            m_idle_at = steady_clock::now();
-            m_unseen_since = m_idle_at;
+            m_last_idle = steady_clock::now();
+            m_earliest_arrival = m_last_idle;
         }
-        const auto looked = steady_clock::now();
-        if (looked - m_idle_at > standing_work)
-            m_pressed_until = looked + pressure_holds;
+        const auto polled_at = steady_clock::now();
+        if (polled_at - m_last_idle > saturation_delay)
+            m_saturated_until = polled_at + saturation_hold;
         boost::this_fiber::yield();
-        m_unseen_since = looked;
+        m_earliest_arrival = polled_at;
     }
 }
 
@@ -81,15 +81,15 @@
 
 int run_main_fiber(const std::function<int(worker&)>& body)
 {
-    auto* self = new worker; // outlives abandoned fibers
+    auto* main_worker = new worker; // outlives abandoned fibers
     int code = 0;
-    self->spawn(
+    main_worker->spawn(
         [&]
         {
-            code = body(*self);
-            self->stop();
+            code = body(*main_worker);
+            main_worker->stop();
         });
-    self->run();
+    main_worker->run();
     return code;
 }
 
