--- a/include/tillerhall/observe/bounded_log.hpp
+++ b/include/tillerhall/observe/bounded_log.hpp
@@ -1,4 +1,4 @@
-/** @file Log lines about single calls, bounded in number. */
+/** @file A rate-limited log for lines about single calls. */
 #pragma once
 
 #include "tillerhall/core/token_bucket.hpp"
@@ -10,17 +10,17 @@
 {
 
 /**
- * Writes at most so many lines a second; the rest is counted and told in the
- * next line that is written. For fibers of one worker.
+ * Writes up to `lines_per_s` lines, with bursts of `burst`. Counts the lines
+ * that it drops and reports their number in the next line that it writes. Not
+ * thread-safe: for the fibers of one worker.
  */
 class bounded_log
 {
 public:
-    /** Lines a second and at once: 20 of 400 bytes are 8 KB/s a node. */
     static constexpr double lines_per_s = 20;
-    static constexpr double burst = 100;
+    static constexpr double burst = 100; ///< lines
 
-    /** Writes the line, or counts it as left out. */
+    /** Writes the line, or drops and counts it when over the rate. */
     void
     write(log_level level, std::string_view event, boost::json::object fields)
     {
