--- a/include/tillerhall/observe/burn_tracker.hpp
+++ b/include/tillerhall/observe/burn_tracker.hpp
@@ -1,4 +1,4 @@
-/** @file How fast each service at each place uses up what it may fail. */
+/** @file Error budget burn by service and place. */
 #pragma once
 
 #include "tillerhall/observe/latency_histogram.hpp"
@@ -16,7 +16,7 @@
 namespace tillerhall
 {
 
-/** The windows of the report, as in the Google SRE Workbook, chapter 5. */
+/** A window of the report, as in the Google SRE Workbook, chapter 5. */
 struct burn_window
 {
     std::string_view name;
@@ -27,16 +27,16 @@
     burn_window{"5m", 5}, burn_window{"1h", 60}, burn_window{"30m", 30},
     burn_window{"6h", 360}};
 
-/** What is counted together. */
+/** The key of a series: calls of one service at one place. */
 struct burn_key
 {
     std::string service;
-    std::string place; ///< of the target, "-" for calls that found none
+    std::string place; ///< of the target, "-" for calls without one
 
     auto operator<=>(const burn_key&) const = default;
 };
 
-/** Calls and bad calls. */
+/** Calls, and those of them that missed the objective. */
 struct burn_count
 {
     std::uint64_t calls = 0;
@@ -48,24 +48,23 @@
 {
     burn_key key;
     std::array<burn_count, burn_windows.size()> windows;
-    std::int64_t began_minutes_ago = -1; ///< first bad minute, -1 for none
-    std::uint64_t began_version = 0;     ///< the table in force then
-    std::string cause;                   ///< what most bad calls met
+    std::int64_t began_minutes_ago = -1; ///< first bad minute; -1: none
+    std::uint64_t began_version = 0;     ///< table version in effect then
+    std::string cause;                   ///< most frequent cause
     std::uint64_t cause_count = 0;
     std::map<int, std::uint64_t> latencies; ///< of `latency_histogram`
 
-    /** Adds what another node saw of the same key. */
+    /** Adds the entry of another node for the same key. */
     void add(const burn_entry& other);
 };
 
-/** Entries of several nodes, added up by key. */
+/** Entries of several nodes, summed by key. */
 using burn_report = std::map<burn_key, burn_entry>;
 
-/** Adds @p entry to @p report. */
 void add_to(burn_report& report, const burn_entry& entry);
 
 /**
- * Counts calls minute by minute for six hours. Safe for threads.
+ * Counts calls per minute over the last six hours. Thread-safe.
  * Lock order: a leaf.
  */
 class burn_tracker
@@ -73,9 +72,9 @@
 public:
     /**
      * Counts one call.
-     * @param cause why it was bad; empty for a good one
-     * @param version the table in force
-     * @param minute wall clock
+     * @param cause why the call was bad; empty for a good one
+     * @param version the table version in effect
+     * @param minute wall clock, in minutes since 1970
      */
     void record(const burn_key& key,
                 const std::string& cause,
@@ -83,7 +82,7 @@
                 std::uint64_t version,
                 std::int64_t minute);
 
-    /** @return one entry a key with calls in the last six hours. */
+    /** @return one entry for each key; @p minute as for `record`. */
     std::vector<burn_entry> entries(std::int64_t minute) const;
 
 private:
@@ -102,7 +101,7 @@
     };
 
     static burn_entry
-    summarize(const burn_key& key, const series& kept, std::int64_t minute);
+    summarize(const burn_key& key, const series& recorded, std::int64_t minute);
 
     mutable std::mutex m_mutex;
     std::map<burn_key, series> m_series;
--- a/src/observe/burn_tracker.cpp
+++ b/src/observe/burn_tracker.cpp
@@ -7,9 +7,9 @@
 namespace
 {
 
-constexpr std::int64_t longest_minutes = 360;
-// Causes are few kinds; a forged variety must not grow the map.
-constexpr std::size_t most_causes = 32;
+constexpr std::int64_t retention_minutes = 360;
+// Bounds the map; the usual causes are far fewer.
+constexpr std::size_t max_causes = 32;
 
 } // namespace
 
@@ -48,30 +48,30 @@
                           std::int64_t minute)
 {
     const std::lock_guard lock(m_mutex);
-    auto& kept = m_series[key];
-    if (kept.minutes.empty() || kept.minutes.back().minute != minute)
-        kept.minutes.push_back({minute, {}, version});
-    while (kept.minutes.front().minute <= minute - longest_minutes)
-        kept.minutes.pop_front();
-    auto& now = kept.minutes.back();
-    ++now.count.calls;
-    kept.latencies.record(took_ms);
+    auto& recorded = m_series[key];
+    if (recorded.minutes.empty() || recorded.minutes.back().minute != minute)
+        recorded.minutes.push_back({minute, {}, version});
+    while (recorded.minutes.front().minute <= minute - retention_minutes)
+        recorded.minutes.pop_front();
+    auto& current = recorded.minutes.back();
+    ++current.count.calls;
+    recorded.latencies.record(took_ms);
     if (cause.empty())
         return;
-    if (now.count.bad == 0)
-        now.version = version;
-    ++now.count.bad;
-    if (kept.causes.contains(cause) || kept.causes.size() < most_causes)
-        ++kept.causes[cause];
+    if (current.count.bad == 0)
+        current.version = version;
+    ++current.count.bad;
+    if (recorded.causes.contains(cause) || recorded.causes.size() < max_causes)
+        ++recorded.causes[cause];
 }
 
 burn_entry burn_tracker::summarize(const burn_key& key,
-                                   const series& kept,
+                                   const series& recorded,
                                    std::int64_t minute)
 {
     burn_entry entry;
     entry.key = key;
-    for (const auto& each : kept.minutes)
+    for (const auto& each : recorded.minutes)
     {
         const auto age = minute - each.minute;
         for (std::size_t i = 0; i < burn_windows.size(); ++i)
@@ -81,21 +81,21 @@
             entry.windows[i].calls += each.count.calls;
             entry.windows[i].bad += each.count.bad;
         }
-        const bool in_range = age < longest_minutes;
+        const bool in_range = age < retention_minutes;
         if (in_range && each.count.bad > 0 && entry.began_minutes_ago < 0)
         {
             entry.began_minutes_ago = age;
             entry.began_version = each.version;
         }
     }
-    const auto most = std::ranges::max_element(
-        kept.causes, {}, [](const auto& each) { return each.second; });
-    if (most != kept.causes.end())
+    const auto top_cause = std::ranges::max_element(
+        recorded.causes, {}, [](const auto& each) { return each.second; });
+    if (top_cause != recorded.causes.end())
     {
-        entry.cause = most->first;
-        entry.cause_count = most->second;
+        entry.cause = top_cause->first;
+        entry.cause_count = top_cause->second;
     }
-    entry.latencies = kept.latencies.sparse();
+    entry.latencies = recorded.latencies.sparse();
     return entry;
 }
 
@@ -103,8 +103,8 @@
 {
     const std::lock_guard lock(m_mutex);
     std::vector<burn_entry> all;
-    for (const auto& [key, kept] : m_series)
-        all.push_back(summarize(key, kept, minute));
+    for (const auto& [key, recorded] : m_series)
+        all.push_back(summarize(key, recorded, minute));
     return all;
 }
 
