--- a/include/tillerhall/observe/latency_histogram.hpp
+++ b/include/tillerhall/observe/latency_histogram.hpp
@@ -1,4 +1,4 @@
-/** @file Latencies in a Boost.Histogram with a logarithmic axis. */
+/** @file A histogram of latencies with a logarithmic axis. */
 #pragma once
 
 #include <cstdint>
@@ -11,31 +11,33 @@
 namespace tillerhall
 {
 
-/** Counts of latencies from 0.01 ms to 100 s in buckets 12% wide. */
+/** Counts latencies from 0.01 ms to 100 s in buckets 12% wide. Thread-safe.
+ * Lock order: a leaf. */
 class latency_histogram
 {
 public:
     latency_histogram();
     ~latency_histogram();
 
-    /** Adds one value in milliseconds; callable from any thread. */
+    /** Adds one value in milliseconds. */
     void record(double ms);
 
-    /** @return the value below which @p share (0..1) of all lie; 0 if empty. */
+    /** @return the upper bound, in ms, of the bucket with the quantile @p share
+     * (0 to 1); 0 if the histogram is empty. */
     double quantile(double share) const;
 
-    /** @return about how many values lie above @p ms. */
+    /** @return the number of values above @p ms, interpolated in its bucket. */
     double count_above(double ms) const;
 
     std::uint64_t count() const;
 
-    /** @return the counts of the buckets that are not empty, by index. */
+    /** @return the counts of the non-empty buckets, by index. */
     std::map<int, std::uint64_t> sparse() const;
 
-    /** Adds counts that `sparse` gave, perhaps on another node. */
+    /** Adds counts from `sparse`, also of another node. */
     void add(const std::map<int, std::uint64_t>& counts);
 
-    /** Appends Prometheus lines for a histogram called @p name. */
+    /** Appends the histogram @p name in Prometheus text format to @p into. */
     void write(std::string& into,
                const std::string& name,
                const std::string& labels) const;
--- a/src/observe/latency_histogram.cpp
+++ b/src/observe/latency_histogram.cpp
@@ -10,11 +10,11 @@
 namespace bh = boost::histogram;
 using log_axis = bh::axis::regular<double, bh::axis::transform::log>;
 
-constexpr unsigned buckets = 140;
-constexpr double least_ms = 0.01;
-constexpr double most_ms = 100'000.0;
+constexpr unsigned bucket_count = 140;
+constexpr double min_ms = 0.01;
+constexpr double max_ms = 100'000.0;
 
-std::string joined(const std::string& labels, const std::string& more)
+std::string join_labels(const std::string& labels, const std::string& more)
 {
     return labels.empty() ? more : labels + "," + more;
 }
@@ -23,13 +23,14 @@
 
 struct latency_histogram::state
 {
-    decltype(bh::make_histogram(log_axis(buckets, least_ms, most_ms))) values =
-        bh::make_histogram(log_axis(buckets, least_ms, most_ms));
+    decltype(bh::make_histogram(
+        log_axis(bucket_count, min_ms, max_ms))) values =
+        bh::make_histogram(log_axis(bucket_count, min_ms, max_ms));
     double sum = 0;
     std::uint64_t count = 0;
 
-    /** @return the count of the bucket at @p index, -1 and `buckets` included.
-     */
+    /** @return the count of bucket @p index; -1 is underflow, `bucket_count`
+     * overflow. */
     std::uint64_t at(int index) const
     {
         return static_cast<std::uint64_t>(values.at(index));
@@ -45,7 +46,7 @@
 void latency_histogram::record(double ms)
 {
     const std::lock_guard lock(m_mutex);
-    m_state->values(std::max(ms, least_ms));
+    m_state->values(std::max(ms, min_ms));
     m_state->sum += ms;
     ++m_state->count;
 }
@@ -53,32 +54,31 @@
 double latency_histogram::quantile(double share) const
 {
     const std::lock_guard lock(m_mutex);
-    const double wanted = share * static_cast<double>(m_state->count);
-    double seen = 0;
-    for (int i = 0; i < static_cast<int>(buckets); ++i)
+    const double rank = share * static_cast<double>(m_state->count);
+    double cumulative = 0;
+    for (int i = 0; i < static_cast<int>(bucket_count); ++i)
     {
-        seen += static_cast<double>(m_state->at(i));
-        if (seen >= wanted && seen > 0)
+        cumulative += static_cast<double>(m_state->at(i));
+        if (cumulative >= rank && cumulative > 0)
             return m_state->values.axis().bin(i).upper();
     }
-    return m_state->count == 0 ? 0 : most_ms;
+    return m_state->count == 0 ? 0 : max_ms;
 }
 
 double latency_histogram::count_above(double ms) const
 {
     const std::lock_guard lock(m_mutex);
     const auto& axis = m_state->values.axis();
-    const int bucket = axis.index(std::max(ms, least_ms));
+    const int bucket = axis.index(std::max(ms, min_ms));
     double above = 0;
-    for (int i = bucket + 1; i <= static_cast<int>(buckets); ++i)
+    for (int i = bucket + 1; i <= static_cast<int>(bucket_count); ++i)
         above += static_cast<double>(m_state->at(i));
-    if (bucket >= static_cast<int>(buckets))
+    if (bucket >= static_cast<int>(bucket_count))
         return above;
-    // Within the bucket that holds the bound, values are taken as spread
-    // evenly.
+    // Assumes that values are spread evenly within the bucket.
     const double lower = axis.bin(bucket).lower();
     const double upper = axis.bin(bucket).upper();
-    const double share = (upper - std::max(ms, least_ms)) / (upper - lower);
+    const double share = (upper - std::max(ms, min_ms)) / (upper - lower);
     return above + share * static_cast<double>(m_state->at(bucket));
 }
 
@@ -86,9 +86,9 @@
 {
     const std::lock_guard lock(m_mutex);
     std::map<int, std::uint64_t> counts;
-    for (int i = 0; i < static_cast<int>(buckets); ++i)
-        if (const auto here = m_state->at(i); here != 0)
-            counts[i] = here;
+    for (int i = 0; i < static_cast<int>(bucket_count); ++i)
+        if (const auto in_bucket = m_state->at(i); in_bucket != 0)
+            counts[i] = in_bucket;
     return counts;
 }
 
@@ -97,7 +97,7 @@
     const std::lock_guard lock(m_mutex);
     for (const auto& [bucket, count] : counts)
     {
-        if (bucket < 0 || bucket >= static_cast<int>(buckets))
+        if (bucket < 0 || bucket >= static_cast<int>(bucket_count))
             continue;
         const auto middle = m_state->values.axis().bin(bucket).center();
         m_state->values(middle, bh::weight(count));
@@ -117,21 +117,22 @@
                               const std::string& labels) const
 {
     const std::lock_guard lock(m_mutex);
-    std::uint64_t seen = 0;
-    for (int i = 0; i < static_cast<int>(buckets); ++i)
+    std::uint64_t cumulative = 0;
+    for (int i = 0; i < static_cast<int>(bucket_count); ++i)
     {
-        const auto here = m_state->at(i);
-        seen += here;
-        if (here == 0)
-            continue; // only buckets that grew, to keep the page short
+        const auto in_bucket = m_state->at(i);
+        cumulative += in_bucket;
+        if (in_bucket == 0)
+            continue; // empty buckets are left out to keep the page short
         const auto bound =
             std::to_string(m_state->values.axis().bin(i).upper());
-        into += name + "_bucket{" + joined(labels, "le=\"" + bound + "\"") +
-                "} " + std::to_string(seen) + "\n";
+        into += name + "_bucket{" +
+                join_labels(labels, "le=\"" + bound + "\"") + "} " +
+                std::to_string(cumulative) + "\n";
     }
     const auto count = std::to_string(m_state->count);
-    into +=
-        name + "_bucket{" + joined(labels, "le=\"+Inf\"") + "} " + count + "\n";
+    into += name + "_bucket{" + join_labels(labels, "le=\"+Inf\"") + "} " +
+            count + "\n";
     const auto braces = labels.empty() ? "" : "{" + labels + "}";
     into += name + "_sum" + braces + " " + std::to_string(m_state->sum) + "\n";
     into += name + "_count" + braces + " " + count + "\n";
