--- a/include/tillerhall/observe/log.hpp
+++ b/include/tillerhall/observe/log.hpp
@@ -1,4 +1,4 @@
-/** @file Structured logs: one JSON line for each change of state. */
+/** @file Structured log: one JSON line per event. */
 #pragma once
 
 #include <boost/json/object.hpp>
@@ -16,22 +16,23 @@
     error
 };
 
-/** @return whether @p name is a level; if so @p level holds it. */
+/** Sets @p level to the one called @p name. @return false if there is none. */
 bool parse_log_level(std::string_view name, log_level& level);
 
-/** Where log lines go. */
+/** The stream that log lines are written to. */
 enum class log_output
 {
     standard_error,
     standard_output
 };
 
-/** Sends all log lines of @p least and above to @p to. */
-void start_logging(log_level least, log_output to = log_output::standard_error);
+/** Writes log lines of @p min_level and above to @p to. */
+void start_logging(log_level min_level,
+                   log_output to = log_output::standard_error);
 
 /**
- * Writes one line: time, level, @p event and @p fields.
- * For changes of state only; whatever happens per call is a counter.
+ * Writes one line with time, level, @p event and @p fields.
+ * For changes of state; events of single calls are counted in metrics.
  */
 void log_event(log_level level,
                std::string_view event,
--- a/src/observe/log.cpp
+++ b/src/observe/log.cpp
@@ -45,12 +45,12 @@
     return true;
 }
 
-void start_logging(log_level least, log_output to)
+void start_logging(log_level min_level, log_output to)
 {
     static log4cplus::Initializer initializer;
     auto root = log4cplus::Logger::getRoot();
     root.removeAllAppenders();
-    root.setLogLevel(entry_of(least).value);
+    root.setLogLevel(entry_of(min_level).value);
     const bool to_stderr = to == log_output::standard_error;
     constexpr bool flush_each = true;
     log4cplus::SharedAppenderPtr appender(
