--- a/include/tillerhall/observe/metrics.hpp
+++ b/include/tillerhall/observe/metrics.hpp
@@ -13,7 +13,7 @@
 namespace tillerhall
 {
 
-/** A number that any thread may change. */
+/** A counter or gauge; thread-safe. */
 class metric
 {
 public:
@@ -34,24 +34,24 @@
     std::atomic<std::int64_t> m_value{0};
 };
 
-/** Owns every metric of a process. Lock order: a leaf, nothing is held with it.
- */
+/** Owns the metrics of a process. Thread-safe.
+ * Lock order: its mutex comes before that of a histogram. */
 class metrics_registry
 {
 public:
     /**
-     * @param name as in Prometheus, without labels
-     * @param labels such as `kind="delta"`, may be empty
-     * @return the metric, made on first use; valid as long as the registry.
+     * @param name Prometheus name without labels; a counter ends in "_total"
+     * @param labels such as `kind="delta"`; may be empty
+     * @return the metric, created on first use; valid as long as the registry.
      */
     metric& get(const std::string& name, const std::string& labels = {});
 
-    /** @return the histogram of milliseconds called @p name, made on first use.
-     */
+    /** @return the histogram of milliseconds called @p name, created on first
+     * use; valid as long as the registry. */
     latency_histogram& histogram(const std::string& name,
                                  const std::string& labels = {});
 
-    /** @return all of them in Prometheus text format 0.0.4. */
+    /** @return all metrics in Prometheus text format 0.0.4. */
     std::string text() const;
 
 private:
