--- a/include/tillerhall/observe/objective.hpp
+++ b/include/tillerhall/observe/objective.hpp
@@ -1,16 +1,16 @@
-/** @file What a service promises its callers. */
+/** @file The service level objective of a service. */
 #pragma once
 
 namespace tillerhall
 {
 
-/** The share of calls that is to be answered, and within what time. */
+/** The percentage of calls to be answered, and the time limit in ms. */
 struct objective
 {
     double answered_percent = 99.9;
     double within_ms = 1000;
 
-    /** @return the share of calls that may fail. */
+    /** @return the error budget: the share (0 to 1) of calls that may fail. */
     double budget() const noexcept
     {
         constexpr double hundred = 100;
