--- a/include/tillerhall/observe/traffic.hpp
+++ b/include/tillerhall/observe/traffic.hpp
@@ -1,4 +1,4 @@
-/** @file Control bytes, counted at the sockets by kind and direction. */
+/** @file Bytes of control traffic by kind and direction. */
 #pragma once
 
 #include <array>
@@ -9,7 +9,7 @@
 namespace tillerhall
 {
 
-/** What control bytes are spent on. */
+/** The kinds of control traffic. */
 enum class traffic_kind
 {
     heartbeat,
@@ -26,7 +26,7 @@
 /** @return the name of @p kind in metrics. */
 std::string_view name_of(traffic_kind kind) noexcept;
 
-/** Bytes in and out by kind; safe to add to from any thread. */
+/** Bytes in and out by kind, counted at the sockets. Thread-safe. */
 class traffic_counters
 {
 public:
@@ -35,7 +35,7 @@
     std::uint64_t bytes_in(traffic_kind kind) const noexcept;
     std::uint64_t bytes_out(traffic_kind kind) const noexcept;
 
-    /** @return all bytes in both directions. */
+    /** @return the sum over all kinds and both directions. */
     std::uint64_t total() const noexcept;
 
 private:
--- a/src/observe/traffic.cpp
+++ b/src/observe/traffic.cpp
@@ -24,9 +24,9 @@
                            std::uint64_t in,
                            std::uint64_t out) noexcept
 {
-    auto& counted = m_kinds[index_of(kind)];
-    counted.in.fetch_add(in, std::memory_order_relaxed);
-    counted.out.fetch_add(out, std::memory_order_relaxed);
+    auto& counters = m_kinds[index_of(kind)];
+    counters.in.fetch_add(in, std::memory_order_relaxed);
+    counters.out.fetch_add(out, std::memory_order_relaxed);
 }
 
 std::uint64_t traffic_counters::bytes_in(traffic_kind kind) const noexcept
