--- a/include/tillerhall/store/host_list.hpp
+++ b/include/tillerhall/store/host_list.hpp
@@ -1,4 +1,4 @@
-/** @file The platform's list of hosts; it lags and is only a hint. */
+/** @file The platform's list of hosts, which may be out of date. */
 #pragma once
 
 #include "tillerhall/core/address.hpp"
@@ -8,20 +8,20 @@
 namespace tillerhall
 {
 
-/** A host as the platform last saw it. */
+/** A host in the list. */
 struct listed_host
 {
-    address node; ///< control address of the node there
+    address node; ///< control address of its node
     bool leaving = false;
 };
 
-/** The host list. */
+/** Reads the host list; a hint only, since the list lags. */
 class host_list
 {
 public:
     virtual ~host_list() = default;
 
-    /** @return the hosts live or leaving, some time ago. */
+    /** @return the hosts that were live or leaving when it was updated. */
     virtual result<std::vector<listed_host>> read() = 0;
 };
 
