--- a/include/tillerhall/store/object_store.hpp
+++ b/include/tillerhall/store/object_store.hpp
@@ -1,4 +1,4 @@
-/** @file The platform's object store, as the library uses it. */
+/** @file Interface of the platform's object store. */
 #pragma once
 
 #include "tillerhall/core/result.hpp"
@@ -8,17 +8,17 @@
 namespace tillerhall
 {
 
-/** Stores whole objects under names. */
+/** Stores objects under names; objects are read and written whole. */
 class object_store
 {
 public:
     virtual ~object_store() = default;
 
-    /** Stores @p content; repeating it is harmless for equal content. */
+    /** Stores @p content; may be repeated with the same content. */
     virtual result<void> put(const std::string& name,
                              const std::string& content) = 0;
 
-    /** @return the content, or not_found, or unavailable. */
+    /** @return the content, `not_found` or `unavailable`. */
     virtual result<std::string> get(const std::string& name) = 0;
 };
 
