--- a/include/tillerhall/store/row_store.hpp
+++ b/include/tillerhall/store/row_store.hpp
@@ -1,5 +1,5 @@
-/** @file A transactional store of rows with a feed of changes, as the library
- * uses it: tables are cut into parts, and a transaction stays in one part. */
+/** @file Interface of a transactional row store with a change feed. Tables are
+ * partitioned, and a transaction does not span parts. */
 #pragma once
 
 #include "tillerhall/core/result.hpp"
@@ -12,7 +12,7 @@
 namespace tillerhall
 {
 
-/** Names one row. */
+/** The name of a row. */
 struct row_name
 {
     std::string table;
@@ -22,61 +22,64 @@
     auto operator<=>(const row_name&) const = default;
 };
 
-/** One row as it stands, or as it was when it was removed. */
+/** A row, or the last state of a removed row. */
 struct stored_row
 {
     row_name name;
     std::string value;
     std::uint64_t revision = 0; ///< of its last write
-    bool removed = false;       ///< only in a feed
+    bool removed = false;       ///< only in the change feed
 };
 
-/** Rows of one moment. */
+/** Rows of a consistent read, or changes from the feed. */
 struct row_page
 {
     std::vector<stored_row> rows;
-    std::uint64_t revision = 0; ///< newest of the store at that moment
-    bool more = false;          ///< further keys follow
+    std::uint64_t revision = 0; ///< newest of the store at the read
+    bool more = false;          ///< there are further rows
 };
 
-/** A write of one row that holds only at one revision. */
+/** A compare-and-set write of one row. */
 struct conditional_write
 {
     row_name name;
-    std::uint64_t expected = 0; ///< 0: the row must not be there
+    std::uint64_t expected = 0; ///< revision; 0: the row must not exist
     std::string value;
 };
 
-/** How a conditional write ended. */
+/** The result of a conditional write. */
 struct write_outcome
 {
     bool written = false;
-    std::uint64_t revision = 0; ///< of the row as it now stands
+    std::uint64_t revision = 0; ///< current revision of the row
 };
 
 /**
- * The store. Failures: `unavailable` (nothing was done), `outcome_unknown`
- * (it may have been done, or may yet be done while its condition holds),
- * `retry_later` (over its rate) and, from `follow`, `history_lost`.
+ * A row store. Errors: `unavailable` (the operation had no effect),
+ * `outcome_unknown` (it may have taken effect, or may still do so while its
+ * condition holds), `retry_later` (over the rate limit of the store) and, from
+ * `follow`, `history_lost`.
  */
 class row_store
 {
 public:
     virtual ~row_store() = default;
 
-    /** @return rows of @p table and @p part with keys from @p from on. */
+    /** @return the rows of @p part of @p table with keys from @p from on. */
     virtual result<row_page> read(const std::string& table,
                                   const std::string& part,
                                   const std::string& from) = 0;
 
-    /** @return rows of @p table that changed after @p revision, waiting up to
-     * @p wait for the first; `history_lost` when they are not kept so long. */
+    /** @return the changes of @p table after @p revision, waiting up to
+     * @p wait for the first; `history_lost` if the feed no longer goes back to
+     * @p revision. */
     virtual result<row_page>
     follow(const std::string& table, std::uint64_t revision, duration wait) = 0;
 
-    virtual result<write_outcome> write(const conditional_write& made) = 0;
+    virtual result<write_outcome> write(const conditional_write& request) = 0;
 
-    /** Removes a row if it stands at @p expected. @return whether it did. */
+    /** Removes a row if its revision is @p expected.
+     * @return whether it was removed. */
     virtual result<bool> remove(const row_name& name,
                                 std::uint64_t expected) = 0;
 };
