--- a/include/tillerhall/store/table_service.hpp
+++ b/include/tillerhall/store/table_service.hpp
@@ -1,4 +1,4 @@
-/** @file The platform's transactional table service, as the library uses it. */
+/** @file Interface of the platform's transactional table service. */
 #pragma once
 
 #include "tillerhall/core/result.hpp"
@@ -11,7 +11,7 @@
 namespace tillerhall
 {
 
-/** One item: a key, its value and the revision of its last write (1 and up). */
+/** A key, its value and the revision of its last write, from 1 on. */
 struct table_item
 {
     std::string key;
@@ -19,28 +19,28 @@
     std::uint64_t revision = 0;
 };
 
-/** Holds when the item has this revision; 0 means that it must not exist. */
+/** Requires that the item has this revision; 0: that it does not exist. */
 struct table_condition
 {
     std::string key;
     std::uint64_t revision = 0;
 };
 
-/** Writes that take effect together if all conditions hold, or not at all. */
+/** Writes that are committed atomically if all conditions hold. */
 struct table_transaction
 {
     std::vector<table_condition> conditions;
     std::vector<table_item> writes; ///< revisions are ignored
 };
 
-/** How a transaction ended. */
+/** The result of a transaction. */
 struct commit_outcome
 {
     bool committed = false;
-    std::uint64_t revision = 0; ///< of every item it wrote
+    std::uint64_t revision = 0; ///< of every item that it wrote
 };
 
-/** The table service. Every failure is `unavailable` or `outcome_unknown`. */
+/** A table service. Errors are `unavailable` or `outcome_unknown`. */
 class table_service
 {
 public:
@@ -49,13 +49,13 @@
     /** @return the item, or an empty optional if there is none. */
     virtual result<std::optional<table_item>> get(const std::string& key) = 0;
 
-    /** @return up to @p limit items with @p prefix, greatest key first. */
+    /** @return up to @p limit items with @p prefix, in descending key order. */
     virtual result<std::vector<table_item>> list_last(const std::string& prefix,
                                                       std::size_t limit) = 0;
 
     /**
-     * @return whether its conditions held; `unavailable` means that it did
-     * nothing, `outcome_unknown` that it may have been committed.
+     * @return whether the transaction was committed; `unavailable` if it had no
+     * effect, `outcome_unknown` if it may have been committed.
      */
     virtual result<commit_outcome>
     transact(const table_transaction& transaction) = 0;
