--- a/include/tillerhall/store/http_platform.hpp
+++ b/include/tillerhall/store/http_platform.hpp
@@ -1,5 +1,5 @@
-/** @file The three platform services over HTTP and JSON; see docs/PLATFORM.md.
- */
+/** @file Clients of the platform services, over HTTP and JSON; see
+ * docs/PLATFORM.md. */
 #pragma once
 
 #include "tillerhall/http/api_client.hpp"
@@ -11,7 +11,7 @@
 namespace tillerhall
 {
 
-/** What the three clients share: one connection pool and the byte counts. */
+/** An HTTP client of one platform service, with a timeout per request. */
 class platform_connection
 {
 public:
@@ -25,7 +25,7 @@
     {
     }
 
-    /** Calls the service and counts the bytes as source traffic. */
+    /** Sends a request and counts its bytes as `traffic_kind::source`. */
     result<http_response> call(const std::string& method,
                                const std::string& target,
                                const std::string& body = {});
@@ -36,7 +36,6 @@
     traffic_counters& m_traffic;
 };
 
-/** The table service over HTTP. */
 class http_table_service : public table_service
 {
 public:
@@ -55,7 +54,6 @@
     platform_connection m_connection;
 };
 
-/** The object store over HTTP. */
 class http_object_store : public object_store
 {
 public:
@@ -72,7 +70,6 @@
     platform_connection m_connection;
 };
 
-/** The host list over HTTP. */
 class http_host_list : public host_list
 {
 public:
--- a/src/store/http_platform.cpp
+++ b/src/store/http_platform.cpp
@@ -9,10 +9,10 @@
 
 namespace json = boost::json;
 
-constexpr unsigned ok = 200;
-constexpr unsigned missing = 404;
-constexpr unsigned refused = 409;
-constexpr unsigned overloaded = 503;
+constexpr unsigned http_ok = 200;
+constexpr unsigned http_not_found = 404;
+constexpr unsigned http_conflict = 409;
+constexpr unsigned http_service_unavailable = 503;
 
 error unavailable(const std::string& what, const error& cause)
 {
@@ -33,7 +33,7 @@
             json::value_to<std::uint64_t>(members.at("revision"))};
 }
 
-/** Runs @p read over the parsed body; malformed bodies become an error. */
+/** @return @p read of the parsed body; `unavailable` if it is malformed. */
 template <class Read>
 auto parse_body(const http_response& response, Read read)
     -> result<decltype(read(std::declval<const json::object&>()))>
@@ -84,9 +84,9 @@
         m_connection.call("GET", "/tables/v1/item?key=" + percent_encode(key));
     if (!response)
         return unavailable("table service read of " + key, response.reason());
-    if (response->status == missing)
+    if (response->status == http_not_found)
         return std::optional<table_item>{};
-    if (response->status != ok)
+    if (response->status != http_ok)
         return unexpected("table service read of " + key, *response);
     return parse_body(*response, [](const json::object& body)
                       { return std::optional(item_from(body)); });
@@ -100,7 +100,7 @@
                    "&limit=" + std::to_string(limit));
     if (!response)
         return unavailable("table service list", response.reason());
-    if (response->status != ok)
+    if (response->status != http_ok)
         return unexpected("table service list", *response);
     return parse_body(*response,
                       [](const json::object& body)
@@ -117,16 +117,16 @@
 {
     const auto response = m_connection.call(
         "POST", "/tables/v1/transact", json::serialize(to_json(transaction)));
-    if (response && response->status == ok)
+    if (response && response->status == http_ok)
         return parse_body(*response,
                           [](const json::object& body) -> commit_outcome {
                               return {true, json::value_to<std::uint64_t>(
                                                 body.at("revision"))};
                           });
-    if (response && response->status == refused)
+    if (response && response->status == http_conflict)
         return commit_outcome{};
-    // 503 is the service's word that it did nothing; see docs/PLATFORM.md.
-    if (response && response->status == overloaded)
+    // 503 guarantees that the write had no effect; see docs/PLATFORM.md.
+    if (response && response->status == http_service_unavailable)
         return unexpected("table service write", *response);
     if (response)
         return error(error_code::outcome_unknown,
@@ -146,7 +146,7 @@
         "PUT", "/objects/v1/" + percent_encode(name), content);
     if (!response)
         return unavailable("object store write", response.reason());
-    if (response->status != ok)
+    if (response->status != http_ok)
         return unexpected("object store write", *response);
     return {};
 }
@@ -157,9 +157,9 @@
         m_connection.call("GET", "/objects/v1/" + percent_encode(name));
     if (!response)
         return unavailable("object store read", response.reason());
-    if (response->status == missing)
+    if (response->status == http_not_found)
         return error(error_code::not_found, "object " + name);
-    if (response->status != ok)
+    if (response->status != http_ok)
         return unexpected("object store read", *response);
     return std::move(response->body);
 }
@@ -169,7 +169,7 @@
     const auto response = m_connection.call("GET", "/hosts/v1/list");
     if (!response)
         return unavailable("host list", response.reason());
-    if (response->status != ok)
+    if (response->status != http_ok)
         return unexpected("host list", *response);
     return parse_body(
         *response,
