--- a/src/store/table_store.cpp
+++ b/src/store/table_store.cpp
@@ -16,7 +16,7 @@
 constexpr const char* head_key = "head";
 constexpr const char* version_prefix = "version/";
 constexpr const char* accept_prefix = "accept/";
-constexpr int version_digits = 12; // keeps keys in the order of versions
+constexpr int version_digits = 12; // zero-padded: key order is version order
 
 std::string version_key(std::uint64_t version)
 {
@@ -30,7 +30,7 @@
 {
     return error(error_code::corrupt,
                  "item " + key + " is malformed: " + failed.what(),
-                 "restore the item from the platform's own backup");
+                 "restore the item from the platform's backup");
 }
 
 std::string to_text(const version_record& record)
@@ -160,7 +160,8 @@
                                  const version_record& record,
                                  const config_table& table)
 {
-    // The content goes first: a head must never name what cannot be read.
+    // The content is stored first, so that a head always refers to an object
+    // that exists.
     if (const auto put = m_objects.put(record.digest, write_csv(table)); !put)
         return put.reason();
     const json::object head{{"version", record.version},
