--- a/include/tillerhall/table/check.hpp
+++ b/include/tillerhall/table/check.hpp
@@ -1,4 +1,4 @@
-/** @file Refusal of tables that the mesh could not act on. */
+/** @file Validation of a table against the services and places of the mesh. */
 #pragma once
 
 #include "tillerhall/core/error.hpp"
@@ -11,7 +11,7 @@
 namespace tillerhall
 {
 
-/** The services and failure domains that the mesh has heard of. */
+/** The services and failure domains known to the mesh. */
 struct known_names
 {
     std::set<std::string> services;
@@ -19,8 +19,8 @@
 };
 
 /**
- * @return every reason not to accept @p table: services or places unknown to
- * the mesh, and services whose weights are all zero.
+ * @return all problems of @p table: services or places unknown to the mesh, and
+ * services whose weights are all zero.
  */
 std::vector<error> check_table(const config_table& table,
                                const known_names& known);
--- a/src/table/check.cpp
+++ b/src/table/check.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-std::string listed(const std::set<std::string>& names)
+std::string join_names(const std::set<std::string>& names)
 {
     std::string text;
     for (const auto& name : names)
@@ -27,7 +27,7 @@
         error_code::unknown_name,
         "row " + checked.key.service + " at " + checked.key.place + ", " +
             column + " \"" + name + "\" is not known to the mesh",
-        "start a target there first, or use one of: " + listed(known));
+        "start a target there first, or use one of: " + join_names(known));
 }
 
 } // namespace
@@ -44,9 +44,9 @@
     for (const auto& service : table.services())
     {
         const auto rows = table.rows_of(service);
-        const bool none_open = std::ranges::all_of(
+        const bool all_weights_zero = std::ranges::all_of(
             rows, [](const row& each) { return each.weight == 0; });
-        if (none_open)
+        if (all_weights_zero)
             problems.emplace_back(error_code::out_of_range,
                                   "every weight of service \"" + service +
                                       "\" is 0, so no call could be served",
