--- a/include/tillerhall/table/column.hpp
+++ b/include/tillerhall/table/column.hpp
@@ -1,4 +1,4 @@
-/** @file The columns of the table: names, types, ranges and their fields. */
+/** @file The columns of the table: name, type, range and field of each. */
 #pragma once
 
 #include "tillerhall/core/result.hpp"
@@ -11,14 +11,14 @@
 namespace tillerhall
 {
 
-/** How a cell is written. */
+/** The type of a cell's text. */
 enum class cell_kind
 {
     number,
     yes_no
 };
 
-/** One editable column. */
+/** An editable column; `least` and `most` are inclusive. */
 struct column
 {
     std::string_view name;
@@ -33,13 +33,14 @@
 /** @return every editable column, in the order of the CSV form. */
 std::span<const column> columns() noexcept;
 
-/** @return the column called @p name, or unknown_name listing all. */
+/** @return the column called @p name; else `unknown_name` with all names. */
 result<const column*> find_column(std::string_view name);
 
-/** @return the text of @p in 's cell under @p of. */
-std::string cell_text(const row& in, const column& of);
+/** @return the text of the cell of @p source in column @p spec. */
+std::string cell_text(const row& source, const column& spec);
 
-/** Parses @p text into the cell; the refusal names value, range and remedy. */
-result<void> set_cell(row& in, const column& of, std::string_view text);
+/** Parses @p text into the cell of @p edited in column @p spec; an error names
+ * the value and the allowed range. */
+result<void> set_cell(row& edited, const column& spec, std::string_view text);
 
 } // namespace tillerhall
--- a/src/table/column.cpp
+++ b/src/table/column.cpp
@@ -30,32 +30,32 @@
            "whether any method of the service may be repeated"},
 };
 
-error bad_cell(const column& of, std::string_view text, error_code code)
+error bad_cell(const column& spec, std::string_view text, error_code code)
 {
     std::string remedy = "write a whole number from " +
-                         std::to_string(of.least) + " to " +
-                         std::to_string(of.most);
-    if (of.kind == cell_kind::yes_no)
+                         std::to_string(spec.least) + " to " +
+                         std::to_string(spec.most);
+    if (spec.kind == cell_kind::yes_no)
         remedy = "write yes or no";
     return error(code,
-                 std::string(of.name) + " \"" + std::string(text) +
+                 std::string(spec.name) + " \"" + std::string(text) +
                      "\" does not fit",
                  remedy);
 }
 
-result<void> set_yes_no(row& in, const column& of, std::string_view text)
+result<void> set_yes_no(row& edited, const column& spec, std::string_view text)
 {
-    // Spreadsheets rewrite yes and no in their own way.
+    // Spreadsheets rewrite yes and no as booleans or in capitals.
     constexpr std::array<std::string_view, 5> yes{"yes", "true", "TRUE", "YES",
                                                   "1"};
     constexpr std::array<std::string_view, 5> no{"no", "false", "FALSE", "NO",
                                                  "0"};
     if (std::ranges::find(yes, text) != yes.end())
-        in.*of.field = 1;
+        edited.*spec.field = 1;
     else if (std::ranges::find(no, text) != no.end())
-        in.*of.field = 0;
+        edited.*spec.field = 0;
     else
-        return bad_cell(of, text, error_code::bad_syntax);
+        return bad_cell(spec, text, error_code::bad_syntax);
     return {};
 }
 
@@ -78,28 +78,28 @@
                  "unknown column \"" + std::string(name) + "\"", known);
 }
 
-std::string cell_text(const row& in, const column& of)
+std::string cell_text(const row& source, const column& spec)
 {
-    const auto value = in.*of.field;
-    if (of.kind == cell_kind::yes_no)
+    const auto value = source.*spec.field;
+    if (spec.kind == cell_kind::yes_no)
         return value != 0 ? "yes" : "no";
     return std::to_string(value);
 }
 
-result<void> set_cell(row& in, const column& of, std::string_view text)
+result<void> set_cell(row& edited, const column& spec, std::string_view text)
 {
-    if (of.kind == cell_kind::yes_no)
-        return set_yes_no(in, of, text);
+    if (spec.kind == cell_kind::yes_no)
+        return set_yes_no(edited, spec, text);
     std::int64_t value = 0;
     const auto* const end = text.data() + text.size();
     const auto parsed = std::from_chars(text.data(), end, value);
     if (parsed.ec == std::errc::result_out_of_range)
-        return bad_cell(of, text, error_code::out_of_range);
+        return bad_cell(spec, text, error_code::out_of_range);
     if (parsed.ec != std::errc() || parsed.ptr != end)
-        return bad_cell(of, text, error_code::bad_syntax);
-    if (value < of.least || value > of.most)
-        return bad_cell(of, text, error_code::out_of_range);
-    in.*of.field = value;
+        return bad_cell(spec, text, error_code::bad_syntax);
+    if (value < spec.least || value > spec.most)
+        return bad_cell(spec, text, error_code::out_of_range);
+    edited.*spec.field = value;
     return {};
 }
 
