--- a/include/tillerhall/table/config_table.hpp
+++ b/include/tillerhall/table/config_table.hpp
@@ -1,4 +1,4 @@
-/** @file The whole table: rows in canonical order. */
+/** @file The configuration table: rows in canonical order. */
 #pragma once
 
 #include "tillerhall/table/row.hpp"
@@ -11,13 +11,13 @@
 namespace tillerhall
 {
 
-/** A set of rows with distinct keys, kept in the order of their keys. */
+/** Rows with distinct keys, sorted by key. */
 class config_table
 {
 public:
     config_table() = default;
 
-    /** Takes @p rows in any order; of equal keys the first stays. */
+    /** Sorts @p rows; of several rows with one key, keeps the first. */
     explicit config_table(std::vector<row> rows);
 
     std::span<const row> rows() const noexcept { return m_rows; }
@@ -25,13 +25,13 @@
     /** @return the row under @p key, valid until the table changes, or null. */
     const row* find(const row_key& key) const noexcept;
 
-    /** @return the rows of @p service, in order of place. */
+    /** @return the rows of @p service, sorted by place. */
     std::span<const row> rows_of(std::string_view service) const noexcept;
 
-    /** Adds @p added or replaces the row with its key. */
+    /** Inserts @p added, or replaces the row with the same key. */
     void put(row added);
 
-    /** @return whether there was such a row to remove. */
+    /** Removes the row under @p key. @return false if there is none. */
     bool remove(const row_key& key);
 
     /** @return the names of all services with a row. */
--- a/src/table/config_table.cpp
+++ b/src/table/config_table.cpp
@@ -11,8 +11,8 @@
     : m_rows(std::move(rows))
 {
     std::ranges::stable_sort(m_rows, {}, &row::key);
-    const auto repeated = std::ranges::unique(m_rows, {}, &row::key);
-    m_rows.erase(repeated.begin(), repeated.end());
+    const auto duplicates = std::ranges::unique(m_rows, {}, &row::key);
+    m_rows.erase(duplicates.begin(), duplicates.end());
 }
 
 const row* config_table::find(const row_key& key) const noexcept
