--- a/include/tillerhall/table/csv.hpp
+++ b/include/tillerhall/table/csv.hpp
@@ -1,4 +1,4 @@
-/** @file The CSV form of the table, as spreadsheets read and write it. */
+/** @file The CSV form of the table, for spreadsheets. */
 #pragma once
 
 #include "tillerhall/core/result.hpp"
@@ -12,14 +12,14 @@
 namespace tillerhall
 {
 
-/** A table being edited and the version it was taken from. */
+/** An edited table and the version that it is based on. */
 struct draft
 {
     config_table table;
-    std::optional<std::uint64_t> base; ///< from the first line, if written
+    std::optional<std::uint64_t> base; ///< from the first line, if present
 };
 
-/** A parsed draft, or every problem found with its line. */
+/** A parsed draft; valid only if there are no problems. */
 struct csv_outcome
 {
     draft parsed;
@@ -27,19 +27,19 @@
 };
 
 /**
- * Reads CSV (RFC 4180). Spreadsheets' variations are taken: a byte order
- * mark, CRLF, semicolons or tabs for commas, columns in any order, columns
- * left out (defaults apply), empty lines.
+ * Reads CSV (RFC 4180) and the variants that spreadsheets write: a byte order
+ * mark, CRLF, semicolons or tabs instead of commas, columns in any order,
+ * missing columns (defaults apply) and empty lines.
  */
 csv_outcome read_csv(std::string_view text);
 
-/** @return the canonical form: sorted rows, commas, LF, every column. */
+/** @return the canonical form: sorted rows, all columns, commas, LF. */
 std::string write_csv(const config_table& table);
 
-/** @return the canonical form with a first line naming its version. */
+/** @return the canonical form after a first line that names version @p base. */
 std::string write_draft(const config_table& table, std::uint64_t base);
 
-/** @return one row in canonical form, without a line end. */
+/** @return one row in canonical form, without a line break. */
 std::string write_csv_row(const row& written);
 
 /** Reads one row in canonical form. */
--- a/src/table/csv.cpp
+++ b/src/table/csv.cpp
@@ -11,8 +11,8 @@
 {
 
 constexpr std::string_view byte_order_mark = "\xEF\xBB\xBF";
-constexpr std::string_view base_mark = "#tillerhall base=";
-constexpr std::size_t longest_name = 64;
+constexpr std::string_view base_prefix = "#tillerhall base=";
+constexpr std::size_t max_name_length = 64;
 
 using fields = std::vector<std::string>;
 
@@ -22,11 +22,11 @@
     fields cells;
 };
 
-/** Splits CSV text into lines of cells; quoted cells may span lines. */
-class splitter
+/** Splits CSV text into lines of cells; a quoted cell may span lines. */
+class line_splitter
 {
 public:
-    splitter(std::string_view text, char delimiter)
+    line_splitter(std::string_view text, char delimiter)
         : m_text(text)
         , m_delimiter(delimiter)
     {
@@ -89,7 +89,7 @@
 
     void skip_line_end()
     {
-        // Anything after a closing quote belongs to no cell; skip to the end.
+        // Also skips text after a closing quote, which belongs to no cell.
         const auto end = m_text.find('\n', m_at);
         m_at = end == std::string_view::npos ? m_text.size() : end + 1;
         ++m_number;
@@ -130,7 +130,7 @@
     return std::ranges::all_of(read.cells, &std::string::empty);
 }
 
-error at_line(std::size_t number, const error& problem)
+error with_line_number(std::size_t number, const error& problem)
 {
     return error(problem.code(),
                  "line " + std::to_string(number) + ": " + problem.detail(),
@@ -141,112 +141,115 @@
 {
     const auto allowed = [](unsigned char c)
     { return std::isalnum(c) != 0 || c == '-' || c == '_' || c == '.'; };
-    return !text.empty() && text.size() <= longest_name &&
+    return !text.empty() && text.size() <= max_name_length &&
            std::ranges::all_of(text, allowed);
 }
 
-/** Builds a draft from lines and collects what is wrong with them. */
-class reader
+/** Builds a draft from lines and collects their problems. */
+class draft_parser
 {
 public:
     csv_outcome read(const std::vector<line>& lines)
     {
         for (const auto& each : lines)
-            take(each);
+            parse_line(each);
         if (m_header.empty())
-            fail(1, error(error_code::bad_syntax, "there is no header line",
-                          "start with: service,place,weight,..."));
+            add_problem(1,
+                        error(error_code::bad_syntax, "there is no header line",
+                              "start with: service,place,weight,..."));
         m_outcome.parsed.table = config_table(std::move(m_rows));
         return std::move(m_outcome);
     }
 
 private:
-    void take(const line& read)
+    void parse_line(const line& read)
     {
         if (is_blank(read))
             return;
         if (read.cells[0].starts_with('#'))
-            take_comment(read);
+            parse_comment(read);
         else if (m_header.empty())
-            take_header(read);
+            parse_header(read);
         else
-            take_row(read);
+            parse_row(read);
     }
 
-    void take_comment(const line& read)
+    void parse_comment(const line& read)
     {
         const std::string_view text = read.cells[0];
-        if (!text.starts_with(base_mark))
+        if (!text.starts_with(base_prefix))
             return;
         std::uint64_t base = 0;
         const auto* const end = text.data() + text.size();
         const auto parsed =
-            std::from_chars(text.data() + base_mark.size(), end, base);
+            std::from_chars(text.data() + base_prefix.size(), end, base);
         if (parsed.ec != std::errc() || parsed.ptr != end)
-            fail(read.number,
-                 error(error_code::bad_syntax,
-                       "\"" + std::string(text) + "\" names no version",
-                       "keep the first line that `tiller show` wrote"));
+            add_problem(read.number,
+                        error(error_code::bad_syntax,
+                              "\"" + std::string(text) + "\" names no version",
+                              "keep the first line that `tiller show` wrote"));
         else
             m_outcome.parsed.base = base;
     }
 
-    void take_header(const line& read)
+    void parse_header(const line& read)
     {
         m_header = read.cells;
-        // Spreadsheets pad every line to the width of the widest.
+        // Spreadsheets pad every line to the same number of cells.
         while (m_header.size() > 1 && m_header.back().empty())
             m_header.pop_back();
         std::set<std::string> seen;
         for (const auto& name : m_header)
         {
             if (!seen.insert(name).second)
-                fail(read.number,
-                     error(error_code::duplicate,
-                           "column \"" + name + "\" stands twice"));
+                add_problem(read.number,
+                            error(error_code::duplicate,
+                                  "column \"" + name + "\" stands twice"));
             if (name == "service" || name == "place")
                 continue;
             const auto found = find_column(name);
             if (!found)
-                fail(read.number, found.reason());
+                add_problem(read.number, found.reason());
         }
-        for (const auto* needed : {"service", "place"})
-            if (!seen.contains(needed))
-                fail(read.number,
-                     error(error_code::bad_syntax,
-                           std::string("column \"") + needed + "\" is missing",
-                           "add it to the header and to every row"));
+        for (const auto* required : {"service", "place"})
+            if (!seen.contains(required))
+                add_problem(
+                    read.number,
+                    error(error_code::bad_syntax,
+                          std::string("column \"") + required + "\" is missing",
+                          "add it to the header and to every row"));
     }
 
-    void take_row(const line& read)
+    void parse_row(const line& read)
     {
         auto cells = read.cells;
         while (cells.size() > m_header.size() && cells.back().empty())
             cells.pop_back();
         if (cells.size() != m_header.size())
-            return fail(read.number,
-                        error(error_code::bad_syntax,
-                              std::to_string(cells.size()) + " cells under " +
-                                  std::to_string(m_header.size()) + " columns",
-                              "give every column one cell"));
+            return add_problem(
+                read.number,
+                error(error_code::bad_syntax,
+                      std::to_string(cells.size()) + " cells under " +
+                          std::to_string(m_header.size()) + " columns",
+                      "give every column one cell"));
         row built;
         for (std::size_t i = 0; i < cells.size(); ++i)
-            take_cell(read.number, built, m_header[i], cells[i]);
+            parse_cell(read.number, built, m_header[i], cells[i]);
         if (!m_keys.insert(built.key).second)
-            return fail(read.number,
-                        error(error_code::duplicate,
-                              "row " + built.key.service + " at " +
-                                  built.key.place + " stands twice"));
+            return add_problem(read.number,
+                               error(error_code::duplicate,
+                                     "row " + built.key.service + " at " +
+                                         built.key.place + " stands twice"));
         m_rows.push_back(std::move(built));
     }
 
-    void take_cell(std::size_t number,
-                   row& built,
-                   const std::string& name,
-                   const std::string& text)
+    void parse_cell(std::size_t number,
+                    row& built,
+                    const std::string& name,
+                    const std::string& text)
     {
         if (name == "service" || name == "place")
-            return take_name(
+            return parse_name(
                 number, name == "place" ? built.key.place : built.key.service,
                 name, text);
         const auto found = find_column(name);
@@ -254,28 +257,29 @@
             return; // reported with the header, or the default applies
         const auto set = set_cell(built, **found, text);
         if (!set)
-            fail(number,
-                 error(set.reason().code(),
-                       "row " + built.key.service + " at " + built.key.place +
-                           ", " + set.reason().detail(),
-                       set.reason().remedy()));
+            add_problem(number, error(set.reason().code(),
+                                      "row " + built.key.service + " at " +
+                                          built.key.place + ", " +
+                                          set.reason().detail(),
+                                      set.reason().remedy()));
     }
 
-    void take_name(std::size_t number,
-                   std::string& into,
-                   const std::string& column_name,
-                   const std::string& text)
+    void parse_name(std::size_t number,
+                    std::string& into,
+                    const std::string& column_name,
+                    const std::string& text)
     {
         into = text;
         if (!is_name(text))
-            fail(number, error(error_code::bad_syntax,
-                               column_name + " \"" + text + "\" is not a name",
-                               "use 1 to 64 letters, digits, '-', '_', '.'"));
+            add_problem(number,
+                        error(error_code::bad_syntax,
+                              column_name + " \"" + text + "\" is not a name",
+                              "use 1 to 64 letters, digits, '-', '_', '.'"));
     }
 
-    void fail(std::size_t number, const error& problem)
+    void add_problem(std::size_t number, const error& problem)
     {
-        m_outcome.problems.push_back(at_line(number, problem));
+        m_outcome.problems.push_back(with_line_number(number, problem));
     }
 
     csv_outcome m_outcome;
@@ -298,7 +302,7 @@
 {
     if (text.starts_with(byte_order_mark))
         text.remove_prefix(byte_order_mark.size());
-    return reader().read(splitter(text, delimiter_of(text)).split());
+    return draft_parser().read(line_splitter(text, delimiter_of(text)).split());
 }
 
 std::string write_csv_row(const row& written)
@@ -329,7 +333,7 @@
 
 std::string write_draft(const config_table& table, std::uint64_t base)
 {
-    return std::string(base_mark) + std::to_string(base) + "\n" +
+    return std::string(base_prefix) + std::to_string(base) + "\n" +
            write_csv(table);
 }
 
