--- a/include/tillerhall/table/delta.hpp
+++ b/include/tillerhall/table/delta.hpp
@@ -1,4 +1,4 @@
-/** @file What changed between two tables, cell by cell. */
+/** @file Differences between two tables, by cell. */
 #pragma once
 
 #include "tillerhall/core/result.hpp"
@@ -11,7 +11,7 @@
 namespace tillerhall
 {
 
-/** What a change does to a row. */
+/** The kind of a `table_change`. */
 enum class change_kind
 {
     set_cell,
@@ -19,13 +19,13 @@
     remove_row
 };
 
-/** One changed cell, or one whole row added or removed. */
+/** A changed cell, or a row that was added or removed. */
 struct table_change
 {
     change_kind kind = change_kind::set_cell;
     row_key key;
-    std::string column; ///< of a set cell
-    std::string before; ///< cell text or CSV row; not sent on the wire
+    std::string column; ///< of a changed cell
+    std::string before; ///< cell text or CSV row; not sent to nodes
     std::string after;  ///< cell text or CSV row
 };
 
@@ -34,19 +34,19 @@
 /** @return the changes that turn @p from into @p to. */
 table_delta diff(const config_table& from, const config_table& to);
 
-/** @return @p from with @p changes made, or why one does not fit. */
+/** Applies @p changes to @p from; an error if one does not fit its rows. */
 result<config_table> apply(config_table from, const table_delta& changes);
 
 /** @return the compact JSON form: an array of arrays. */
 boost::json::value to_json(const table_delta& changes);
 
-/** @return the compact form with what stood there before. */
+/** @return the compact form with the previous texts. */
 boost::json::value to_history_json(const table_delta& changes);
 
 /** Reads either JSON form. */
 result<table_delta> delta_from_json(const boost::json::value& value);
 
-/** @return one line a change for people, such as "oogstbeurs polder-a weight:
+/** @return one readable line per change, such as "oogstbeurs polder-a weight:
  * 100 -> 80". */
 std::vector<std::string> describe(const table_delta& changes);
 
--- a/src/table/delta.cpp
+++ b/src/table/delta.cpp
@@ -14,8 +14,8 @@
 
 constexpr std::string_view add_mark = "+";
 constexpr std::string_view remove_mark = "-";
-constexpr std::size_t after_cell = 3;
-constexpr std::size_t before_cell = 4; // in the history only
+constexpr std::size_t after_index = 3;
+constexpr std::size_t before_index = 4; // in the history only
 
 void diff_row(const row& from, const row& to, table_delta& into)
 {
@@ -54,11 +54,11 @@
     const auto* found = table.find(change.key);
     if (found == nullptr)
         return does_not_fit(change, "no such row");
-    const auto of = find_column(change.column);
-    if (!of)
-        return of.reason();
+    const auto spec = find_column(change.column);
+    if (!spec)
+        return spec.reason();
     row changed = *found;
-    if (auto set = set_cell(changed, **of, change.after); !set)
+    if (auto set = set_cell(changed, **spec, change.after); !set)
         return set.reason();
     table.put(std::move(changed));
     return {};
@@ -81,9 +81,9 @@
     else
         change.column = mark;
     if (change.kind != change_kind::remove_row)
-        change.after = text_at(cells, after_cell);
-    if (cells.size() > before_cell)
-        change.before = text_at(cells, before_cell);
+        change.after = text_at(cells, after_index);
+    if (cells.size() > before_index)
+        change.before = text_at(cells, before_index);
     return change;
 }
 
