--- a/include/tillerhall/table/merge.hpp
+++ b/include/tillerhall/table/merge.hpp
@@ -1,4 +1,4 @@
-/** @file Three-way merge of racing edits, cell by cell. */
+/** @file Three-way merge of concurrent edits, by cell. */
 #pragma once
 
 #include "tillerhall/table/config_table.hpp"
@@ -9,17 +9,17 @@
 namespace tillerhall
 {
 
-/** A cell, or a whole row, that both sides changed in different ways. */
+/** A cell or row that both sides changed differently. */
 struct merge_conflict
 {
     row_key key;
-    std::string column; ///< "row" when a whole row is in question
+    std::string column; ///< "row" if the conflict is about the row
     std::string base;
     std::string mine;
     std::string theirs;
 };
 
-/** The merged table; where there are conflicts it holds their side. */
+/** The merged table, which has the value of `theirs` for each conflict. */
 struct merge_outcome
 {
     config_table merged;
@@ -27,9 +27,8 @@
 };
 
 /**
- * Brings the edits that lead from @p base to @p mine into @p theirs.
- * Edits of different cells are both kept; the same cell changed to different
- * values is a conflict, never settled silently.
+ * Applies the differences between @p base and @p mine to @p theirs. A cell that
+ * both sides changed to different values is reported as a conflict.
  */
 merge_outcome merge(const config_table& base,
                     const config_table& mine,
--- a/src/table/merge.cpp
+++ b/src/table/merge.cpp
@@ -11,19 +11,19 @@
 
 constexpr std::string_view no_row = "(no row)";
 
-bool same(const row* left, const row* right)
+bool is_same_row(const row* left, const row* right)
 {
     if (left == nullptr || right == nullptr)
         return left == right;
     return *left == *right;
 }
 
-std::string text_of(const row* shown)
+std::string row_text(const row* shown)
 {
     return shown == nullptr ? std::string(no_row) : write_csv_row(*shown);
 }
 
-/** Merges one row that all three tables hold. */
+/** Merges a row that all three tables have. */
 row merge_cells(const row& base,
                 const row& mine,
                 const row& theirs,
@@ -67,14 +67,15 @@
         const auto* in_base = base.find(key);
         const auto* in_mine = mine.find(key);
         const auto* in_theirs = theirs.find(key);
-        if (same(in_mine, in_base) || same(in_mine, in_theirs))
+        if (is_same_row(in_mine, in_base) || is_same_row(in_mine, in_theirs))
             continue;
         if (in_base != nullptr && in_mine != nullptr && in_theirs != nullptr)
             outcome.merged.put(
                 merge_cells(*in_base, *in_mine, *in_theirs, outcome.conflicts));
-        else if (!same(in_theirs, in_base))
-            outcome.conflicts.push_back({key, "row", text_of(in_base),
-                                         text_of(in_mine), text_of(in_theirs)});
+        else if (!is_same_row(in_theirs, in_base))
+            outcome.conflicts.push_back({key, "row", row_text(in_base),
+                                         row_text(in_mine),
+                                         row_text(in_theirs)});
         else if (in_mine == nullptr)
             outcome.merged.remove(key);
         else
