--- a/include/tillerhall/tillerhall.hpp
+++ b/include/tillerhall/tillerhall.hpp
@@ -1,6 +1,6 @@
 /**
- * @file The public surface of the library in one header: run a node, check a
- * table, merge edits. Everything else may change between versions.
+ * @file The public API of the library: run a node, check a table, merge edits.
+ * Headers that are not included here may change between versions.
  */
 #pragma once
 
--- a/src/precompiled.hpp
+++ b/src/precompiled.hpp
@@ -1,4 +1,4 @@
-/** @file Headers that are slow to parse and that most sources need. */
+/** @file Precompiled headers: slow to parse and used by most sources. */
 #pragma once
 #include <algorithm>
 #include <boost/asio.hpp>
