--- a/tests/unit/table.cpp
+++ b/tests/unit/table.cpp
@@ -8,7 +8,7 @@
 
 using namespace tillerhall;
 
-TEST_CASE("CSV takes what spreadsheets make of a draft")
+TEST_CASE("CSV with the variations that spreadsheets write is read")
 {
     const auto outcome = read_csv("\xEF\xBB\xBF#tillerhall base=7;;\r\n"
                                   "place;service;weight;repeatable\r\n"
@@ -49,7 +49,7 @@
     CHECK_THAT(messages[5], Catch::Contains("1 cells under 4 columns"));
 }
 
-TEST_CASE("CSV without a header, a key column or a good base is refused")
+TEST_CASE("CSV without a header, a key column or a valid base is rejected")
 {
     CHECK(read_csv("").problems.size() == 1);
     CHECK_FALSE(read_csv("service,weight\nperceel,1\n").problems.empty());
@@ -57,7 +57,8 @@
         read_csv("#tillerhall base=x\nservice,place\n").problems.empty());
 }
 
-TEST_CASE("any table survives CSV, and equal tables have equal digests")
+TEST_CASE(
+    "a table is unchanged by writing and reading CSV, and so is its digest")
 {
     rc::prop("round trip",
              [](const config_table& table)
@@ -69,7 +70,7 @@
              });
 }
 
-TEST_CASE("a delta leads from any table to any other, also over the wire")
+TEST_CASE("the delta of two tables, sent as JSON, turns one into the other")
 {
     rc::prop("diff, send, apply",
              [](const config_table& from, const config_table& to)
@@ -84,7 +85,7 @@
              });
 }
 
-TEST_CASE("a delta that does not fit is refused")
+TEST_CASE("a delta that does not fit the table is rejected")
 {
     table_change change;
     change.key = {"s", "p"};
@@ -100,9 +101,9 @@
     CHECK_FALSE(delta_from_json(boost::json::parse("{}")));
 }
 
-TEST_CASE("a merge keeps both sides' edits and settles nothing silently")
+TEST_CASE("a merge keeps the edits of both sides or reports a conflict")
 {
-    rc::prop("merge laws",
+    rc::prop("identities of merge",
              [](const config_table& base, const config_table& other)
              {
                  RC_ASSERT(merge(base, base, other).merged == other);
@@ -130,7 +131,7 @@
                      const auto shown = std::ranges::any_of(
                          outcome.conflicts, [&](const merge_conflict& each)
                          { return each.key == change.key; });
-                     // Theirs may have changed other cells of the same row.
+                     // The other side may have changed other cells of the row.
                      const bool theirs_too = base.find(change.key) != nullptr &&
                                              theirs.find(change.key) != nullptr;
                      RC_ASSERT(!lost || shown ||
@@ -140,7 +141,7 @@
 }
 
 TEST_CASE(
-    "the same cell changed in two ways is a conflict that shows all three")
+    "a cell changed to different values is a conflict with all three values")
 {
     row first;
     first.key = {"perceel", "polder-a"};
@@ -158,7 +159,7 @@
     CHECK(outcome.merged.find(first.key)->weight == 2);
 }
 
-TEST_CASE("a table that the mesh cannot act on is refused cell by cell")
+TEST_CASE("unknown names and all-zero weights of a table are each reported")
 {
     row unknown;
     unknown.key = {"nobody", "nowhere"};
