--- a/tests/unit/table_store.cpp
+++ b/tests/unit/table_store.cpp
@@ -1,4 +1,4 @@
-/** @file The store of versions over small fakes of the platform's services. */
+/** @file `table_store` with fakes of the platform's services. */
 #include "tillerhall/store/table_store.hpp"
 #include "tillerhall/table/csv.hpp"
 
@@ -10,7 +10,7 @@
 namespace
 {
 
-class fake_tables : public table_service
+class fake_table_service : public table_service
 {
 public:
     result<std::optional<table_item>> get(const std::string& key) override
@@ -34,14 +34,15 @@
         return listed;
     }
 
-    result<commit_outcome> transact(const table_transaction& wanted) override
+    result<commit_outcome>
+    transact(const table_transaction& transaction) override
     {
-        for (const auto& each : wanted.conditions)
+        for (const auto& each : transaction.conditions)
             if ((items.contains(each.key) ? items[each.key].revision : 0) !=
                 each.revision)
                 return commit_outcome{};
         ++revision;
-        for (const auto& each : wanted.writes)
+        for (const auto& each : transaction.writes)
             items[each.key] = {each.key, each.value, revision};
         if (!lose_answer)
             return commit_outcome{true, revision};
@@ -55,7 +56,7 @@
     bool lose_answer = false;
 };
 
-class fake_objects : public object_store
+class fake_object_store : public object_store
 {
 public:
     result<void> put(const std::string& name,
@@ -87,7 +88,7 @@
     return record;
 }
 
-config_table one_row()
+config_table one_row_table()
 {
     row only;
     only.key = {"s", "p"};
@@ -96,13 +97,12 @@
 
 } // namespace
 
-TEST_CASE(
-    "a version is kept with its head, history and accept id, or not at all")
+TEST_CASE("a commit stores head, history and accept id atomically")
 {
-    fake_tables tables;
-    fake_objects objects;
+    fake_table_service tables;
+    fake_object_store objects;
     table_store store(tables, objects);
-    const auto table = one_row();
+    const auto table = one_row_table();
     CHECK(store.read_head()->version == 0);
     REQUIRE(*store.commit({}, record_of(1, table, "a"), table));
     const auto head = store.read_head();
@@ -112,18 +112,18 @@
     CHECK_FALSE(store.find_accept("b")->has_value());
     CHECK(store.read_version(1)->changes.size() == 1);
     CHECK(store.read_history(5)->size() == 1);
-    // A stale head and a used accept id both fail the compare.
+    // A stale head and a used accept id both fail the conditions.
     CHECK_FALSE(*store.commit({}, record_of(2, table, "b"), table));
     CHECK_FALSE(*store.commit(*head, record_of(2, table, "a"), table));
     CHECK(store.read_head()->version == 1);
 }
 
-TEST_CASE("after a lost answer the same commit cannot take effect twice")
+TEST_CASE("a commit repeated after a lost answer takes effect once")
 {
-    fake_tables tables;
-    fake_objects objects;
+    fake_table_service tables;
+    fake_object_store objects;
     table_store store(tables, objects);
-    const auto table = one_row();
+    const auto table = one_row_table();
     tables.lose_answer = true;
     const auto first = store.commit({}, record_of(1, table, "a"), table);
     REQUIRE_FALSE(first);
@@ -133,10 +133,10 @@
 }
 
 TEST_CASE(
-    "malformed and corrupt contents of the platform are told, not acted on")
+    "malformed and corrupt contents of the platform are reported as errors")
 {
-    fake_tables tables;
-    fake_objects objects;
+    fake_table_service tables;
+    fake_object_store objects;
     table_store store(tables, objects);
     tables.items["head"] = {"head", "nonsense", 1};
     tables.items["accept/x"] = {"accept/x", "many", 1};
@@ -145,7 +145,7 @@
     CHECK(store.find_accept("x").reason().code() == error_code::corrupt);
     CHECK(store.read_version(7).reason().code() == error_code::corrupt);
     CHECK(store.read_version(8).reason().code() == error_code::not_found);
-    objects.objects["00"] = write_csv(one_row());
+    objects.objects["00"] = write_csv(one_row_table());
     CHECK(store.read_table("00").reason().code() == error_code::corrupt);
     tables.down = true;
     CHECK(store.read_head().reason().code() == error_code::unavailable);
