--- a/standins/platform/platform_state.hpp
+++ b/standins/platform/platform_state.hpp
@@ -1,4 +1,4 @@
-/** @file What the stand-in for the platform holds, and its faults. */
+/** @file State and injected faults of the stand-in for the platform. */
 #pragma once
 
 #include "tillerhall/core/time.hpp"
@@ -13,30 +13,30 @@
 namespace tillerhall
 {
 
-/** Faults that can be set while it runs. */
+/** Faults that can be set at run time through POST /admin/faults. */
 struct platform_faults
 {
-    bool down = false;             ///< connections close without an answer
-    std::int64_t delay_ms = 0;     ///< before every answer
-    std::int64_t lose_answers = 0; ///< so many writes take effect unanswered
-    std::int64_t fail_every = 0;   ///< each k-th write does nothing, says 503
-    std::int64_t host_lag_ms = 0;  ///< age of the host list
+    bool down = false;             ///< closes connections without a response
+    std::int64_t delay_ms = 0;     ///< delay before each response
+    std::int64_t lose_answers = 0; ///< next writes applied but not answered
+    std::int64_t fail_every = 0;   ///< each k-th write fails with 503; 0: none
+    std::int64_t host_lag_ms = 0;  ///< age of the host list that is returned
 };
 
-/** Counts since the last reset. */
+/** Counts since the last POST /admin/reset. */
 struct platform_counts
 {
     std::int64_t reads = 0;
     std::int64_t writes = 0;
     std::int64_t bytes_out = 0;
-    std::int64_t peak_reads_s = 0; ///< most reads in any whole second
+    std::int64_t peak_reads_s = 0; ///< most reads within one second
 };
 
-/** The table service, the object store and the host list in memory. */
+/** In-memory table service, object store and host list. */
 class platform_state
 {
 public:
-    /** Waits in the calling fiber. */
+    /** Suspends the calling fiber. */
     using sleeper = std::function<void(duration)>;
 
     explicit platform_state(sleeper sleep)
