--- a/standins/platform_standin/reporting_target.hpp
+++ b/standins/platform_standin/reporting_target.hpp
@@ -1,4 +1,4 @@
-/** @file Stand-in for a target on the users' platform, for tests. */
+/** @file Stand-in for a target on the users' platform, used by tests. */
 #pragma once
 
 #include "tillerhall/core/worker.hpp"
@@ -15,25 +15,25 @@
 namespace tillerhall
 {
 
-/** What it does with the next requests; counts go down with each. */
+/** Injected behaviour. A count applies to so many of the next requests. */
 struct target_tricks
 {
-    milliseconds work{2};          ///< time of one run
-    unsigned late_answers = 0;     ///< sends a second answer for so many
-    unsigned reset_answers = 0;    ///< runs, then resets
-    unsigned short_answers = 0;    ///< breaks the answer off in its body
-    unsigned unproved_answers = 0; ///< leaves out its proof
-    unsigned shed = 0;             ///< refuses, saying that it did not run
-    unsigned fail = 0;             ///< runs and answers 500
-    unsigned early_answers = 0;    ///< answers before it reads the body
-    std::string ends_under;        ///< a path; its process ends when that ran
-    double failing = 0;            ///< this share of runs answers 500
-    std::string failing_prefix;    ///< of the paths that fail; empty: all
-    unsigned failing_load = 0;     ///< fails only with so many runs at once
-    time_point failing_from{};     ///< is well until then
+    milliseconds work{2};          ///< duration of one run
+    unsigned late_answers = 0;     ///< sends the response twice
+    unsigned reset_answers = 0;    ///< runs, then resets the connection
+    unsigned short_answers = 0;    ///< closes in the middle of the body
+    unsigned unproved_answers = 0; ///< omits the X-Response-Seal header
+    unsigned shed = 0;             ///< answers 503 with X-Not-Executed
+    unsigned fail = 0;             ///< runs, then answers 500
+    unsigned early_answers = 0;    ///< answers before reading the body
+    std::string ends_under;        ///< path whose run crashes the target
+    double failing = 0;            ///< share of runs that answer 500
+    std::string failing_prefix;    ///< only paths with this prefix fail
+    unsigned failing_load = 0;     ///< fails only with so many concurrent runs
+    time_point failing_from{};     ///< no run fails before this time
 };
 
-/** One run of a request. */
+/** One recorded run. */
 struct target_run
 {
     std::string id;
@@ -42,11 +42,11 @@
     std::string body;
     std::string time_left;
     time_point begun{};
-    std::string account; ///< for whom, as the mesh told
-    std::string key;     ///< of the client, if it was let through
+    std::string account; ///< client account, from X-Tenant
+    std::string key;     ///< Authorization header, if forwarded
 };
 
-/** A target that reports to a node and answers with its proof. */
+/** A target that reports to a node and seals its responses. */
 class reporting_target
 {
 public:
@@ -54,33 +54,33 @@
 
     const address& where() const noexcept { return m_where; }
     const std::string& id() const noexcept { return m_id; }
-    /** The version of its software, told with its reports. */
+    /** Sets the software version in its reports. */
     void set_release(std::string release) { m_release = std::move(release); }
-    /** For how long it says with its reports that it is cold. */
+    /** Sets the remaining cold time in its reports. */
     void set_cold_for(milliseconds span) { m_cold_for = span; }
-    /** When it began, told with its reports; 0: not told. */
+    /** Sets the start time in its reports, Unix milliseconds; 0 omits it. */
     void set_born_ms(std::uint64_t at) { m_born_ms = at; }
     target_tricks& tricks() noexcept { return m_tricks; }
     const std::vector<target_run>& runs() const noexcept { return m_runs; }
 
-    /** A new start at the same address. */
+    /** Restarts with a new instance id at the same address. */
     void start_again(std::string id);
 
-    /** The process ends: every connection is reset, no new one is taken. */
+    /** Simulates a crash: resets all connections and closes the listener. */
     void end();
 
-    /** @return how often it ended, and whether it has not started since. */
+    /** Number of crashes, and whether it is down since the last one. */
     unsigned times_ended() const noexcept { return m_times_ended; }
     bool has_ended() const noexcept { return m_has_ended; }
 
-    /** Reports "ready" or "draining". @return the status, 0 for none. */
+    /** Reports "ready" or "draining". @return HTTP status, 0 if unanswered. */
     unsigned report(const address& to, const std::string& state);
 
-    /** Reports with a sequence of the test's choice. */
+    /** As above, with a given sequence number. */
     unsigned
     report(const address& to, const std::string& state, std::uint64_t sequence);
 
-    /** The last word before the end. @return the status, 0 for none. */
+    /** Deregisters from the node. @return HTTP status, 0 if unanswered. */
     unsigned leave(const address& to);
 
 private:
@@ -89,7 +89,7 @@
     bool serve_one(inbound_call& call);
     bool send(inbound_call& call, unsigned status, bool not_run);
     static bool take(unsigned& trick);
-    /** @return whether a run of @p path fails by its release's fault. */
+    /** @return true if the next run of @p path must fail. */
     bool is_bad(std::string_view path);
 
     worker& m_worker;
@@ -101,11 +101,11 @@
     milliseconds m_cold_for{0};
     std::uint64_t m_born_ms = 0;
     unsigned m_running = 0;
-    double m_failing = 0; ///< of a run, carried from one to the next
+    double m_failing = 0; ///< fraction of a failure carried to the next run
     target_tricks m_tricks;
     std::vector<target_run> m_runs;
     std::uint64_t m_sequence = 0;
-    std::set<tcp_stream*> m_streams; ///< open ones
+    std::set<tcp_stream*> m_streams; ///< open connections
     std::vector<std::unique_ptr<listener>> m_closed;
     unsigned m_times_ended = 0;
     bool m_has_ended = false;
