--- a/standins/platform_standin/store_standin.hpp
+++ b/standins/platform_standin/store_standin.hpp
@@ -1,4 +1,4 @@
-/** @file Stand-in for the store of the users' platform, for tests. */
+/** @file Stand-in for the store of the users' platform, used by tests. */
 #pragma once
 
 #include "tillerhall/core/worker.hpp"
@@ -15,20 +15,20 @@
 namespace tillerhall
 {
 
-/** How the store fails; all can be set while it runs. */
+/** Injected faults; can be changed at run time. */
 struct store_faults
 {
-    bool down = false;         ///< every call gets 503
-    bool silent = false;       ///< no call is answered
-    unsigned lose_answers = 0; ///< so many writes are done and not answered
-    /** Writes that all parts together take a second, one after another; with
-     * over a second of them waiting a write is refused. 0: any. */
+    bool down = false;         ///< answers every call with 503
+    bool silent = false;       ///< answers no call
+    unsigned lose_answers = 0; ///< next writes applied but not answered
+    /** Write rate over all parts. Excess writes are delayed, and refused with
+     * 429 if they would wait for more than a second. 0: unlimited. */
     double writes_per_s = 0;
 };
 
 /**
- * Rows in tables and parts, transactions under conditions and a feed of
- * changes whose history can be dropped. Lives on a worker of the test.
+ * Rows in tables and parts, conditional transactions and a change feed whose
+ * history can be dropped. Runs on a worker of the test.
  */
 class store_standin
 {
@@ -38,26 +38,26 @@
     const address& where() const { return m_listener->local(); }
     store_faults& faults() noexcept { return m_faults; }
 
-    /** Writes a row of the operators, or of an earlier boot. */
+    /** Writes a row directly, as operators or an earlier process do. */
     void put(const std::string& table,
              const std::string& part,
              const std::string& key,
              const std::string& value);
 
-    /** Takes a row away, as operators do. */
+    /** Deletes a row directly, as operators do. */
     void remove(const std::string& table,
                 const std::string& part,
                 const std::string& key);
 
-    /** Forgets all changes up to now: feeds from before get 410. */
+    /** Drops the change history: feeds from older revisions get 410. */
     void drop_history() { m_oldest = m_revision; }
 
-    /** @return values of a table by key, all parts together. */
+    /** @return the values of a table by key, over all parts. */
     std::map<std::string, std::string> values(const std::string& table) const;
 
     std::uint64_t calls() const noexcept { return m_calls; }
 
-    /** @return the calls that read, followed or wrote @p table. */
+    /** @return the number of calls that read, polled or wrote @p table. */
     std::uint64_t calls_on(const std::string& table) const;
 
 private:
@@ -81,7 +81,7 @@
     };
 
     http_response answer(const http_request& request);
-    /** Waits for a write's turn. @return whether it was not refused. */
+    /** Delays a write to the write rate. @return false if it is refused. */
     bool await_turn();
     http_response transact(const http_request& request);
     http_response read(const http_request& request);
@@ -97,10 +97,10 @@
     std::map<row_key, row> m_rows;
     std::vector<change> m_changes;
     std::uint64_t m_revision = 0;
-    std::uint64_t m_oldest = 0; ///< changes up to here are forgotten
+    std::uint64_t m_oldest = 0; ///< changes up to this revision are dropped
     std::uint64_t m_calls = 0;
     std::map<std::string, std::uint64_t> m_calls_by_table;
-    time_point m_free_at{}; ///< when all writes that wait are done
+    time_point m_free_at{}; ///< end of the last delayed write
 };
 
 } // namespace tillerhall
