--- a/standins/target/target_state.hpp
+++ b/standins/target/target_state.hpp
@@ -1,4 +1,4 @@
-/** @file What the stand-in for a target does and counts. */
+/** @file Behaviour and counters of the stand-in for a target. */
 #pragma once
 
 #include "tillerhall/core/time.hpp"
@@ -15,25 +15,25 @@
 
 class worker;
 
-/** How it behaves; all can be set while it runs. */
+/** Behaviour; can be changed at run time through POST /admin/behave. */
 struct target_behaviour
 {
     std::int64_t slots = 12;
     std::int64_t connections = 130;
-    std::int64_t service_ms = 2;    ///< time of one run
-    std::int64_t cold_ms = 0;       ///< after the start, runs take longer
-    std::int64_t cold_factor = 5;   ///< so many times longer
-    std::int64_t shed = 0;          ///< 1: refuse everything as not run
-    std::int64_t drain = 0;         ///< 1: health says 503, calls still run
-    std::int64_t lie_healthy = 0;   ///< 1: health says 200 whatever happens
-    std::int64_t fail = 0;          ///< 1: every run ends in 500
+    std::int64_t service_ms = 2;    ///< duration of one run
+    std::int64_t cold_ms = 0;       ///< time after the start with slower runs
+    std::int64_t cold_factor = 5;   ///< slowdown of runs while cold
+    std::int64_t shed = 0;          ///< 1: refuses all calls as not run
+    std::int64_t drain = 0;         ///< 1: /health answers 503, calls still run
+    std::int64_t lie_healthy = 0;   ///< 1: /health always answers 200
+    std::int64_t fail = 0;          ///< 1: every run answers 500
     std::int64_t hang = 0;          ///< 1: runs never answer
-    std::int64_t health_lag_ms = 0; ///< health and load as of so long ago
-    std::int64_t reset_before_answer = 0; ///< so many runs end in a reset
-    std::int64_t reset_mid_answer = 0;    ///< so many answers are cut short
+    std::int64_t health_lag_ms = 0; ///< age of the state in /health and /load
+    std::int64_t reset_before_answer = 0; ///< next runs that end in a reset
+    std::int64_t reset_mid_answer = 0;    ///< next responses that are truncated
 };
 
-/** Counts since the start. */
+/** Counters since the start. */
 struct target_counts
 {
     std::int64_t runs = 0;
@@ -48,7 +48,7 @@
     std::int64_t last_run_us = 0; ///< wall clock
 };
 
-/** One target; runs on one worker. */
+/** A target on one worker. */
 class target_state_standin
 {
 public:
@@ -57,10 +57,10 @@
     /** Serves one connection. */
     void serve(tcp_stream& stream);
 
-    /** Answers health, load and admin paths. */
+    /** Answers the paths /health, /load and /admin/. */
     http_response answer(const http_request& request);
 
-    /** Sets what @p body names. @return whether all names are known. */
+    /** Applies the settings in @p body. @return false on an unknown name. */
     bool set_behaviour(const boost::json::object& body);
 
 private:
@@ -85,7 +85,7 @@
     std::string m_name;
     target_behaviour m_behaviour;
     target_counts m_counts;
-    std::map<std::string, std::int64_t> m_runs; ///< by request id
+    std::map<std::string, std::int64_t> m_runs; ///< runs by request id
     std::deque<load_sample> m_samples;
     time_point m_start;
 };
