--- a/standins/platform_standin/reporting_target.cpp
+++ b/standins/platform_standin/reporting_target.cpp
@@ -22,7 +22,7 @@
 constexpr std::chrono::minutes idle_timeout(5);
 constexpr std::chrono::seconds report_timeout(3);
 
-/** Reads what is left of the body. @return false if it broke off. */
+/** Reads the rest of the body. @return false if it is incomplete. */
 bool read_rest(inbound_call& call)
 {
     if (!call.read_prefix())
@@ -101,7 +101,7 @@
     ++m_times_ended;
     m_has_ended = true;
     m_listener->close();
-    // Its fiber still waits on it.
+    // The accept fiber still uses the listener, so it must not be destroyed.
     m_closed.push_back(std::move(m_listener));
     for (auto* each : m_streams)
         reset(*each);
