--- a/standins/target/target_state.cpp
+++ b/standins/target/target_state.cpp
@@ -290,7 +290,7 @@
         const bool last =
             m_behaviour.hang == 0 && left < milliseconds(check_ms);
         sleep_for(m_worker.io(), last ? left : milliseconds(check_ms));
-        // Cancellation: the node closes the connection of a call given up.
+        // The node closes the connection to cancel a call.
         if (!last && !is_reusable(call.stream()))
             return false;
     }
@@ -301,7 +301,7 @@
 {
     const auto request = to_request(call);
     if (!request.param("end").empty())
-        std::_Exit(1); // as a process does that a call has crashed
+        std::_Exit(1); // simulates a crash caused by the call
     const auto size = number_in(request.param("answer_bytes"), 0);
     http::response<http::string_body> response(
         m_behaviour.fail != 0 ? http::status::internal_server_error
