--- a/standins/target/main.cpp
+++ b/standins/target/main.cpp
@@ -1,4 +1,4 @@
-/** @file Stand-in for a target: slots, shedding, drain, faults, run counts. */
+/** @file Stand-in for a target, with injected faults and run counts. */
 #include "target_state.hpp"
 
 #include "tillerhall/core/worker.hpp"
