--- a/standins/faultproxy.cpp
+++ b/standins/faultproxy.cpp
@@ -1,10 +1,10 @@
 /**
  * @file A fault-injecting TCP proxy for tests.
  *
- * Links are added through its HTTP API: each listens on an address of its own
- * and passes to another. Rules name a source and a destination prefix of IP
- * numbers, so that failure domains, which have an IP network each in tests,
- * can be cut from each other in one or both directions.
+ * POST /links adds a listening address and its destination; POST /rules sets
+ * the faults. A rule matches connections by prefixes of the source and the
+ * destination IP address. In tests each failure domain has its own IP network,
+ * so rules can partition domains in one or both directions.
  */
 #include "tillerhall/core/await.hpp"
 #include "tillerhall/core/random.hpp"
@@ -29,20 +29,20 @@
 constexpr std::size_t piece_bytes = 16 * 1024;
 constexpr std::chrono::hours no_timeout(24);
 
-/** What is done to traffic from one IP prefix to another. */
+/** Fault on connections from one IP prefix to another. */
 struct fault_rule
 {
     std::string from;
     std::string to;
-    bool cut = false;             ///< connections fail and break
-    bool lose_requests = false;   ///< bytes forth vanish
-    bool lose_answers = false;    ///< bytes back vanish
-    std::int64_t delay_ms = 0;    ///< each piece, in both directions
-    std::int64_t jitter_ms = 0;   ///< at most so much more, by connection
-    bool reset_on_answer = false; ///< broken when the answer begins
+    bool cut = false;             ///< refuses new connections, closes open ones
+    bool lose_requests = false;   ///< drops bytes towards the destination
+    bool lose_answers = false;    ///< drops bytes towards the source
+    std::int64_t delay_ms = 0;    ///< delay of each read, both directions
+    std::int64_t jitter_ms = 0;   ///< random extra delay per connection
+    bool reset_on_answer = false; ///< closes at the first response byte
 };
 
-/** One passed connection. */
+/** A proxied connection. */
 struct passed_link
 {
     std::shared_ptr<tcp_stream> near;
@@ -52,7 +52,7 @@
     std::int64_t jitter_ms = 0;
 };
 
-/** All links and rules of the proxy. */
+/** The proxy with its listeners, connections and rules. */
 class fault_proxy
 {
 public:
