--- a/benchmark/harness/caller.hpp
+++ b/benchmark/harness/caller.hpp
@@ -1,4 +1,4 @@
-/** @file A caller of services, for tests and benches. */
+/** @file HTTP caller of services, for tests and benchmarks. */
 #pragma once
 
 #include "tillerhall/http/api_client.hpp"
@@ -9,21 +9,21 @@
 namespace tillerhall::harness
 {
 
-/** What one call led to. */
+/** Result of one call. */
 struct call_outcome
 {
-    bool answered = false; ///< a whole response came
+    bool answered = false; ///< a complete response was received
     unsigned status = 0;
-    std::string outcome; ///< the mesh's word, empty for a target's answer
-    std::string target;  ///< which target answered
-    std::string id;      ///< request id the target saw
+    std::string outcome; ///< Tillerhall-Outcome header, empty from a target
+    std::string target;  ///< target that answered
+    std::string id;      ///< request id received by the target
     std::string body;
     duration took{};
 
     bool is_good() const { return answered && status == 200; }
 };
 
-/** What to call. */
+/** Parameters of one call. */
 struct call_request
 {
     std::string service;
@@ -35,7 +35,7 @@
     duration timeout = std::chrono::seconds(20);
 };
 
-/** Calls through one address; for fibers of one worker. */
+/** Sends calls through one address; used by fibers of one worker. */
 class caller
 {
 public:
