--- a/benchmark/harness/cluster.hpp
+++ b/benchmark/harness/cluster.hpp
@@ -1,4 +1,4 @@
-/** @file A whole system of real processes on loopback. */
+/** @file A complete system of processes on loopback. */
 #pragma once
 
 #include "harness/process.hpp"
@@ -16,36 +16,37 @@
 namespace tillerhall::harness
 {
 
-/** A service of a target beside a node, at a place. */
+/** Service and failure domain of a node and its target. */
 struct placement
 {
     std::string service;
     std::string domain;
 };
 
-/** What system to build. */
+/** Configuration of a cluster. */
 struct cluster_options
 {
-    std::vector<placement> placements; ///< one node each
+    std::vector<placement> placements; ///< one node per entry
     std::string region = "nl-west";
-    /** Settings added to every node, by path. */
+    /** Extra settings of every node, by path. */
     std::map<std::string, std::string> settings;
     /** Behaviour of every target, as JSON. */
     std::string behaviour = "{}";
-    /** One target process a service instead of one a node. */
+    /** Starts one target process per service instead of one per node. */
     bool share_targets = false;
-    /** Nodes reach each other and the platform through a fault proxy. */
+    /** Uses a fault proxy between nodes and towards the platform. */
     bool with_faultproxy = false;
 };
 
-/** @return the users' sizes of today, repeated or cut to @p nodes nodes. */
+/** @return the layout of this deployment, repeated or truncated to @p nodes
+ * nodes. */
 cluster_options akkerbond(std::size_t nodes);
 cluster_options blue_mahoe(std::size_t nodes);
 
 /** @return the options of the profile called @p name, or akkerbond's. */
 cluster_options profile(const std::string& name, std::size_t nodes);
 
-/** One node process and where it listens. */
+/** A node process and its addresses. */
 struct node_process
 {
     process runs;
@@ -58,10 +59,10 @@
     address advertise_rpc;
     address advertise_peer;
     address target;
-    address platform; ///< as this node reaches it
+    address platform; ///< address used by this node
 };
 
-/** Platform, targets, nodes and their fault proxy; all end with the object. */
+/** Platform, targets, nodes and fault proxy; the destructor kills them. */
 class cluster
 {
 public:
@@ -82,23 +83,24 @@
     const std::string& folder() const noexcept { return m_folder; }
     worker& on() noexcept { return m_worker; }
 
-    /** Starts a node again at its old addresses. */
+    /** Restarts a node at its previous addresses. */
     result<void> restart(std::size_t index);
 
-    /** Adds a node that is not yet started; `restart` starts it. */
+    /** Adds a node without starting it; `restart` starts it. */
     std::size_t add_node(const placement& place);
 
-    /** Starts target @p index again at its old address. */
+    /** Restarts target @p index at its previous address. */
     result<void> restart_target(std::size_t index);
 
-    /** @return the answer's object; its "http_status" is the status. */
+    /** @return the response's JSON object, with the status added as
+     * "http_status". */
     result<boost::json::object> get(const address& from,
                                     const std::string& path);
     result<boost::json::object> post(const address& to,
                                      const std::string& path,
                                      const boost::json::object& body);
 
-    /** Sets faults of the platform. */
+    /** Sets faults of the platform stand-in. */
     void set_platform(const boost::json::object& faults);
 
     /** Sets the rules of the fault proxy. */
@@ -107,7 +109,7 @@
     /** Sets the behaviour of node @p index 's target. */
     void set_target(std::size_t index, const boost::json::object& behaviour);
 
-    /** Accepts @p csv on node @p index . @return the answer. */
+    /** Accepts @p csv on node @p index . @return the response. */
     result<boost::json::object> accept(std::size_t index,
                                        const std::string& csv,
                                        std::uint64_t base,
@@ -120,18 +122,18 @@
     /** @return the version of node @p index , -1 if it does not answer. */
     std::int64_t version(std::size_t index);
 
-    /** Waits until @p holds, checking every few milliseconds. */
+    /** Polls until @p holds. @return false after @p limit. */
     bool wait_until(const std::function<bool()>& holds,
                     duration limit = std::chrono::seconds(30));
 
-    /** Waits until all running nodes are at @p version or above. */
+    /** Waits until all running nodes have @p version or a newer one. */
     bool wait_for_version(std::int64_t version,
                           duration limit = std::chrono::seconds(30));
 
-    /** @return whether node @p index knows every running node's target. */
+    /** @return true if node @p index knows the target of every running node. */
     bool knows_all(std::size_t index);
 
-    /** @return CSV with one row for each service and place there is. */
+    /** @return CSV with one row per pair of service and place. */
     std::string default_table() const;
 
 private:
