--- a/benchmark/harness/process.hpp
+++ b/benchmark/harness/process.hpp
@@ -1,4 +1,4 @@
-/** @file A child process of a test or bench. */
+/** @file A child process of a test or benchmark. */
 #pragma once
 
 #include "tillerhall/core/result.hpp"
@@ -12,14 +12,14 @@
 namespace tillerhall::harness
 {
 
-/** What the kernel says a process has used. */
+/** Processor time and memory of a process, from /proc. */
 struct process_usage
 {
     double cpu_s = 0;
     double rss_mb = 0;
 };
 
-/** A process that this one started; it is killed with the object. */
+/** A child process; the destructor kills it. */
 class process
 {
 public:
@@ -32,26 +32,25 @@
     process& operator=(const process&) = delete;
 
     /**
-     * Starts @p argv with standard error to @p log_path.
-     * @param environment added to this process's own
+     * Starts @p argv and appends its standard error to @p log_path .
+     * @param environment variables added to those of this process
      */
     result<void>
     start(const std::vector<std::string>& argv,
           const std::string& log_path,
           const std::map<std::string, std::string>& environment = {});
 
-    /** Reads the one line of JSON by which it says where it listens. */
+    /** Reads the JSON line with its listening addresses from its output. */
     result<boost::json::object> read_listening();
 
     void send(int signal) const;
 
-    /** Waits for its end. @return the exit code, 128 + signal if killed. */
+    /** Waits until it exits. @return exit code, 128 + signal if killed. */
     int wait();
 
     /** Kills it and waits. */
     void kill();
 
-    /** @return whether it still runs. */
     bool is_running();
 
     process_usage usage() const;
@@ -64,7 +63,7 @@
     int m_code = -1;
 };
 
-/** @return the exit code and standard output of a program run to its end. */
+/** Exit code and output of a finished program. */
 struct run_output
 {
     int code = -1;
@@ -72,12 +71,12 @@
     std::string err;
 };
 
-/** Runs @p argv to its end on this thread; for short programs. */
+/** Runs @p argv and blocks this thread until it exits. */
 run_output run(const std::vector<std::string>& argv,
                const std::map<std::string, std::string>& environment = {},
                const std::string& input = {});
 
-/** @return the folder where the programs were built. */
+/** @return the directory of the running executable. */
 std::string program_folder();
 
 } // namespace tillerhall::harness
