--- a/benchmark/harness/cluster.cpp
+++ b/benchmark/harness/cluster.cpp
@@ -29,14 +29,14 @@
     return placed;
 }
 
-/** Six targets of the first service, four of the second, three of the third,
- * over three failure domains: the users' sizes of today. */
+/** @return placements of six targets of the first service, four of the second
+ * and three of the third, spread over @p domains . */
 std::vector<placement> thirteen(const std::vector<std::string>& services,
                                 const std::vector<std::string>& domains)
 {
     const std::vector<std::size_t> counts{6, 4, 3};
     std::vector<placement> placed;
-    // Services in turn, so that a cut pattern still has all of them.
+    // Services alternate, so that a truncated layout still has all of them.
     for (std::size_t i = 0; i < counts.front(); ++i)
         for (std::size_t service = 0; service < services.size(); ++service)
             if (i < counts[service])
@@ -118,7 +118,7 @@
         m_domains.push_back(domain);
         found = std::prev(m_domains.end());
     }
-    // Each failure domain has a network of its own, so that rules can cut it.
+    // A network per failure domain, so that proxy rules can partition it.
     const auto number = std::distance(m_domains.begin(), found) + 1;
     return "127.0." + std::to_string(number) + ".1";
 }
@@ -146,7 +146,7 @@
         std::chrono::seconds(120));
     if (!ready)
         return error(error_code::not_ready, "not every node became ready",
-                     "look into the logs in " + m_folder);
+                     "see the logs in " + m_folder);
     return {};
 }
 
@@ -277,7 +277,7 @@
         all["node.advertise_peer"] = node.advertise_peer.text();
     }
     std::string seeds;
-    // The first short run, which only fixes the ports, must meet nobody.
+    // The first start, which only allocates the ports, must not join the mesh.
     const bool meets =
         !m_options.with_faultproxy || node.advertise_rpc.port != 0;
     for (std::size_t i = 0; i < std::min(seed_count + 1, m_nodes.size()); ++i)
@@ -302,8 +302,8 @@
 result<void> cluster::start_node(std::size_t index, bool again)
 {
     auto& node = m_nodes[index];
-    // The proxy needs the ports before the node starts: they are fixed by a
-    // first short run of it.
+    // The proxy needs the node's ports before the node advertises its
+    // addresses, so a first short run allocates them.
     const bool needs_ports = m_options.with_faultproxy && !again;
     write_settings(index);
     const auto base = m_folder + "/node-" + std::to_string(index);
