--- a/benchmark/harness/cluster_operations.cpp
+++ b/benchmark/harness/cluster_operations.cpp
@@ -1,4 +1,4 @@
-/** @file What tests and benches do with a running cluster. */
+/** @file Operations of tests and benchmarks on a running cluster. */
 #include "harness/cluster.hpp"
 
 #include <boost/json.hpp>
@@ -24,8 +24,9 @@
     if (!accepted->contains("version"))
         return error(error_code::conflict, json::serialize(*accepted));
     if (!wait_for_version(1))
-        return error(error_code::timed_out, "version 1 did not settle",
-                     "look into the logs in " + folder());
+        return error(error_code::timed_out,
+                     "version 1 did not reach every node",
+                     "see the logs in " + folder());
     return {};
 }
 
