--- a/benchmark/harness/process.cpp
+++ b/benchmark/harness/process.cpp
@@ -21,7 +21,7 @@
 
 constexpr int startup_timeout_ms = 30'000;
 
-/** Own pointers to text, as exec wants them. */
+/** Null-terminated array of C strings for posix_spawn, with its storage. */
 struct text_vector
 {
     explicit text_vector(std::vector<std::string> given)
@@ -101,14 +101,14 @@
     kill();
     std::array<int, 2> pipe{};
     if (::pipe2(pipe.data(), O_CLOEXEC) != 0)
-        return error(error_code::internal_error, "no pipe");
+        return error(error_code::internal_error, "cannot create a pipe");
     posix_spawn_file_actions_t actions;
     posix_spawn_file_actions_init(&actions);
     posix_spawn_file_actions_adddup2(&actions, pipe[1], STDOUT_FILENO);
     posix_spawn_file_actions_addopen(&actions, STDERR_FILENO, log_path.c_str(),
                                      O_WRONLY | O_CREAT | O_APPEND, 0644);
-    // A listener of this process that it inherits would go on taking
-    // connections, which nobody serves, after it is closed here.
+    // An inherited listening socket would keep accepting connections that
+    // nobody serves after this process closes it.
     posix_spawn_file_actions_addclosefrom_np(&actions, STDERR_FILENO + 1);
     text_vector arguments(argv);
     text_vector variables(environment_with(environment));
@@ -139,8 +139,8 @@
         if (::poll(&waiting, 1, startup_timeout_ms) != 1 ||
             ::read(m_out, &byte, 1) != 1)
             return error(error_code::not_ready,
-                         "a program ended before it listened",
-                         "look into its log");
+                         "the program exited before it listened",
+                         "see its log");
         line.push_back(byte);
     }
     boost::system::error_code failed;
