--- a/benchmark/call_ledger.hpp
+++ b/benchmark/call_ledger.hpp
@@ -1,4 +1,4 @@
-/** @file What callers were told, held against what targets ran. */
+/** @file Compares the outcomes that callers got with the runs at targets. */
 #pragma once
 
 #include "harness/caller.hpp"
@@ -11,27 +11,27 @@
 namespace tillerhall::bench
 {
 
-/** The verdict over all calls of a run. */
+/** Totals over all calls of an experiment. */
 struct ledger_verdict
 {
     std::int64_t calls = 0;
     std::int64_t good = 0;
-    std::int64_t refused = 0; ///< told not run
-    std::int64_t unknown = 0; ///< told unknown, or no answer at all
-    std::int64_t wrong = 0;   ///< got another call's answer
-    std::int64_t doubled = 0; ///< ran more than once, may not be repeated
+    std::int64_t refused = 0; ///< outcome "not run"
+    std::int64_t unknown = 0; ///< outcome unknown, or no answer at all
+    std::int64_t wrong = 0;   ///< response of another call
+    std::int64_t doubled = 0; ///< ran more than once
     std::int64_t not_run_that_ran = 0;
     std::int64_t good_that_did_not_run = 0;
 };
 
-/** Notes calls that may not be repeated and settles them at the end. */
+/** Records non-idempotent calls and compares them with the targets' runs. */
 class call_ledger
 {
 public:
-    /** Notes the outcome of the call with @p id. */
+    /** Records the outcome of the call with @p id . */
     void note(const std::string& id, const harness::call_outcome& outcome);
 
-    /** Asks every target what it ran. */
+    /** Queries the run counts of every target and compares. */
     ledger_verdict settle(harness::cluster& system) const;
 
 private:
