--- a/benchmark/experiment.hpp
+++ b/benchmark/experiment.hpp
@@ -1,4 +1,4 @@
-/** @file What the experiments of `tiller-bench` share. */
+/** @file Shared parts of the experiments of `tiller-bench`. */
 #pragma once
 
 #include "harness/cluster.hpp"
@@ -12,7 +12,7 @@
 namespace tillerhall::bench
 {
 
-/** One experiment. It ends with a RESULT line and 0 if all held. */
+/** An experiment. It prints a RESULT line and returns 0 if its checks pass. */
 struct experiment
 {
     std::string_view name;
@@ -20,21 +20,21 @@
     int (*run)(worker& on, const cxxopts::ParseResult& options);
 };
 
-/** Prints "RESULT {json}" and appends the figures to results/NAME.csv. */
+/** Prints "RESULT {json}" and appends it to results/NAME.csv. */
 void report(const std::string& name, const boost::json::object& result);
 
-/** Prints one line of progress. */
+/** Prints a progress line to standard output. */
 void say(const std::string& line);
 
-/** @return the value below which @p share of @p values lie; 0 if empty. */
+/** @return the @p share quantile (0 to 1) of @p values ; 0 if empty. */
 double quantile(std::vector<double> values, double share);
 
-/** Wall and control figures of all nodes at one moment. */
+/** Resource use and control traffic of all nodes at one time. */
 struct fleet_sample
 {
-    double control_bytes = 0; ///< mean a node, in and out
-    double cpu_s = 0;         ///< mean a node
-    double rss_mb = 0;        ///< mean a node
+    double control_bytes = 0; ///< mean per node, in and out
+    double cpu_s = 0;         ///< mean per node
+    double rss_mb = 0;        ///< mean per node
     double source_reads = 0;
     double source_bytes = 0;
     time_point at{};
