--- a/benchmark/fault_schedule.hpp
+++ b/benchmark/fault_schedule.hpp
@@ -15,7 +15,7 @@
 namespace tillerhall::bench
 {
 
-/** Causes faults one at a time, two at once now and then, and heals them. */
+/** Injects random faults, which may overlap, and heals them. */
 class fault_schedule
 {
 public:
@@ -25,10 +25,10 @@
     {
     }
 
-    /** Causes one random fault, or heals one. */
+    /** Injects one random fault, or heals all. */
     void step();
 
-    /** Heals everything that is still broken. */
+    /** Removes all injected faults and restarts killed nodes. */
     void heal_all();
 
     std::int64_t caused() const noexcept { return m_caused; }
