--- a/benchmark/invariants.hpp
+++ b/benchmark/invariants.hpp
@@ -1,4 +1,4 @@
-/** @file What must always hold, checked on a running system. */
+/** @file Invariants checked on a running system. */
 #pragma once
 
 #include "harness/cluster.hpp"
@@ -12,22 +12,23 @@
 {
 
 /**
- * Remembers what every node showed and counts what may not be: an address
- * that goes back while it takes calls, a version with two contents, a route
- * without its service or target, an accepted version that is lost.
+ * Records the table versions that nodes report and the violations: a ready
+ * node that goes back to an older version, a version with two contents, a
+ * route without its service or target, a lost accepted version.
  */
 class invariant_watch
 {
 public:
     explicit invariant_watch(harness::cluster& system);
 
-    /** Looks at every node that answers. */
+    /** Checks every node that answers. */
     void look();
 
-    /** Notes that an accept was answered with success. */
+    /** Records a successful accept. */
     void accepted(std::uint64_t version, const std::string& digest);
 
-    /** After all is healed: everything accepted is there and in force. */
+    /** Checks, after all faults are healed, that every accepted version is in
+     * the history and that all nodes have the newest one. */
     void check_end();
 
     std::int64_t checks() const noexcept { return m_checks; }
