--- a/benchmark/bodies.cpp
+++ b/benchmark/bodies.cpp
@@ -1,4 +1,4 @@
-/** @file Many bodies of a gigabyte at once, through nodes of little memory. */
+/** @file Memory of nodes while many large bodies pass at once. */
 #include "experiment.hpp"
 
 #include "tillerhall/core/await.hpp"
@@ -18,7 +18,8 @@
 constexpr std::size_t piece_bytes = 256 * 1024;
 constexpr std::chrono::minutes limit(5);
 
-/** Sends a body of @p size bytes. @return the head and start of the answer. */
+/** Sends a body of @p size bytes. @return the response's head and the start of
+ * its body. */
 std::string upload(worker& on, const address& through, std::size_t size)
 {
     auto stream = connect_stream(on.io(), through, std::chrono::seconds(5));
