--- a/benchmark/claims.cpp
+++ b/benchmark/claims.cpp
@@ -1,4 +1,4 @@
-/** @file Claims a second, their writes and the time they add. */
+/** @file Throughput, store writes and added latency of idempotency claims. */
 #include "experiment.hpp"
 #include "load.hpp"
 
@@ -10,8 +10,8 @@
 {
 
 constexpr const char* service = "oogstbeurs";
-// Each so many-th call repeats the key of the one before, through another
-// node, as a caller does that gave up too early.
+// Every n-th call reuses the key of the previous call through another node,
+// as a caller does that retries after a timeout.
 constexpr std::size_t repeat_every = 10;
 
 } // namespace
