--- a/benchmark/convergence.cpp
+++ b/benchmark/convergence.cpp
@@ -1,4 +1,4 @@
-/** @file Convergence time and control bytes, strategy by strategy. */
+/** @file Convergence time and control bytes of each strategy. */
 #include "experiment.hpp"
 
 #include "tillerhall/distribution/strategy.hpp"
@@ -15,10 +15,10 @@
 
 namespace json = boost::json;
 
-// The baselines poll this often, and the default's readers, too.
+// Poll interval of the baselines and of the default strategy's readers.
 constexpr const char* poll_ms = "1000";
 
-/** One strategy with its interval, as it is to be measured. */
+/** A strategy with its poll interval. */
 struct variant
 {
     std::string name;
@@ -28,7 +28,7 @@
     bool is_baseline = false;
 };
 
-/** Measures one variant on a system of its own. */
+/** Measures one variant on its own system. */
 class measurement
 {
 public:
@@ -110,7 +110,7 @@
         return built;
     }
 
-    /** Waits until all lists of members agree and the news of joins is old. */
+    /** Waits until all member lists agree and join rumors have faded. */
     void settle()
     {
         m_system.wait_until(
@@ -131,7 +131,7 @@
         return std::chrono::duration<double>(span).count();
     }
 
-    /** Accepts one changed cell and waits until every node acts on it. */
+    /** Accepts one changed cell and waits until every node applies it. */
     result<void> one_change(std::size_t index)
     {
         auto table = read_csv(m_table).parsed.table;
@@ -141,7 +141,7 @@
         m_table = write_csv(table);
         const auto through = index % m_system.nodes().size();
         const auto version = static_cast<std::int64_t>(index) + 2;
-        // The accepting node may not have the version before it yet.
+        // The accepting node may not have the previous version yet.
         const auto answer = m_system.accept(
             through, m_table, static_cast<std::uint64_t>(version) - 1,
             "change-" + std::to_string(index));
@@ -175,7 +175,7 @@
     harness::cluster m_system;
     worker& m_worker;
     std::string m_table;
-    std::vector<double> m_each_ms; ///< until the last node, for each change
+    std::vector<double> m_each_ms; ///< of each change, until the last node
 };
 
 std::vector<variant> variants_for(const std::string& wanted)
@@ -192,8 +192,9 @@
     return chosen;
 }
 
-/** @return an interval at which polling would match @p convergence_ms; the
- * last of many nodes sees a change after nearly a whole interval. */
+/** @return poll interval in milliseconds at which polling converges in
+ * @p convergence_ms : the last of many nodes sees a change after nearly one
+ * interval. */
 std::string matching_poll(double convergence_ms)
 {
     constexpr double least_ms = 20;
