--- a/benchmark/demo.cpp
+++ b/benchmark/demo.cpp
@@ -1,4 +1,4 @@
-/** @file The whole path shown with real processes. */
+/** @file End-to-end demonstration with real processes. */
 #include "experiment.hpp"
 #include "harness/caller.hpp"
 
@@ -17,7 +17,7 @@
 using harness::call_outcome;
 using harness::caller;
 
-/** The demonstration's steps over one running system. */
+/** The steps of the demonstration on one system. */
 class demo
 {
 public:
@@ -80,7 +80,7 @@
     {
         if (held)
             return;
-        say("NOT HELD: " + what);
+        say("FAILED: " + what);
         m_held = false;
     }
 
@@ -145,7 +145,7 @@
         }
     }
 
-    /** Calls of the edited service must now avoid the edited place. */
+    /** Checks that calls avoid the place whose weight was set to 0. */
     void check_calls_obey()
     {
         std::set<std::string> closed;
@@ -164,7 +164,7 @@
         expect(served_there == 0, "calls obey the edited weight");
     }
 
-    /** One target made slow must be named by the burn report. */
+    /** Checks that the burn report names the target that was made slow. */
     void slow_target_shows()
     {
         const auto& slow = m_system.nodes()[1];
@@ -181,7 +181,7 @@
         const auto shown = tiller({"report", "burn"});
         std::istringstream lines(shown);
         std::string first;
-        std::getline(lines, first); // the header; the worst row comes next
+        std::getline(lines, first); // the header; the worst row is next
         std::getline(lines, first);
         expect(first.find(slow.place.service) != std::string::npos &&
                    first.find(slow.place.domain) != std::string::npos &&
