--- a/benchmark/drain.cpp
+++ b/benchmark/drain.cpp
@@ -1,4 +1,4 @@
-/** @file How soon a leaving target gets no more work, and what is cut. */
+/** @file Last new call at a node that drains under load, and lost calls. */
 #include "experiment.hpp"
 #include "load.hpp"
 
@@ -33,7 +33,7 @@
     plan.rate = std::min(400.0, options["rate"].as<double>());
     plan.length = std::chrono::duration_cast<duration>(
         std::chrono::duration<double>(options["seconds"].as<double>()));
-    // Calls come in everywhere, the node that will leave included.
+    // Calls enter through all nodes, including the one that leaves.
     for (auto& each : system.nodes())
         plan.through.push_back(each.caller);
     plan.make = [](std::size_t number)
@@ -66,8 +66,8 @@
         counts ? counts->at("last_run_us").to_number<std::int64_t>() : 0;
     const double last_ms =
         std::max(0.0, static_cast<double>(last_us - left_us) / 1000);
-    // Calls through the node that is gone find no listener; they are refused
-    // by the kernel and ran nowhere. Only what ran and was lost is cut.
+    // Calls through the stopped node are refused by the kernel and have not
+    // run, so they are not counted as cut.
     std::int64_t cut =
         verdict.doubled + verdict.wrong + verdict.not_run_that_ran;
     cut += counts ? counts->at("cancelled").to_number<std::int64_t>() : 1;
