--- a/benchmark/fault_schedule.cpp
+++ b/benchmark/fault_schedule.cpp
@@ -16,7 +16,7 @@
 
 namespace json = boost::json;
 
-// With this chance a step heals instead of breaking something more.
+// Probability that a step heals all faults instead of injecting one.
 constexpr std::uint64_t heal_percent = 35;
 constexpr std::size_t domains = 3;
 
@@ -94,7 +94,7 @@
             rules.push_back(rule(network(domain), network(other)));
             rules.push_back(rule(network(other), network(domain)));
         }
-    // Half of the time the source is on the other side of the cut.
+    // In half of the cases the source is cut off as well.
     if (m_random.below(2) == 0)
         rules.push_back(rule(network(domain), "127.0.0."));
     m_system.set_rules(rules);
