--- a/benchmark/faults.cpp
+++ b/benchmark/faults.cpp
@@ -1,4 +1,4 @@
-/** @file Random schedules of faults with the promises watched. */
+/** @file Random schedules of faults with checks of the guarantees. */
 #include "call_ledger.hpp"
 #include "experiment.hpp"
 #include "fault_schedule.hpp"
@@ -21,7 +21,7 @@
 constexpr milliseconds call_every(15);
 constexpr std::size_t operators = 2;
 
-/** One schedule over one system: faults, operators, callers and a watch. */
+/** One schedule on one system, with operators, callers and invariant checks. */
 class fault_run
 {
 public:
@@ -102,7 +102,7 @@
         }
     }
 
-    /** Edits cells and accepts, through whatever node answers. */
+    /** Accepts random edits through random running nodes. */
     void operate(std::size_t number)
     {
         for (int i = 0; m_going; ++i)
@@ -146,7 +146,7 @@
                               result.at("digest").as_string().c_str());
     }
 
-    /** Sends calls that may not be repeated through one node. */
+    /** Sends non-idempotent calls through one node. */
     void call_on(std::size_t through)
     {
         const std::vector<std::string> services{"perceel", "oogstbeurs",
