--- a/benchmark/invariants.cpp
+++ b/benchmark/invariants.cpp
@@ -37,7 +37,7 @@
 {
     for (std::size_t i = 0; i < m_last.size(); ++i)
     {
-        // A paused node would hold the look up; it shows nothing anyway.
+        // The short timeout keeps a paused node from delaying the checks.
         auto& node = m_system.nodes()[i];
         if (!node.runs.is_running())
             continue;
