--- a/benchmark/load.cpp
+++ b/benchmark/load.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-/** Connections of one address that wait for their next call. */
+/** Pool of idle connections to one address. */
 class caller_pool
 {
 public:
