--- a/benchmark/requests.cpp
+++ b/benchmark/requests.cpp
@@ -1,4 +1,4 @@
-/** @file What the mesh adds to a call, policy by policy. */
+/** @file Latency and processor time that the mesh adds, by policy. */
 #include "experiment.hpp"
 #include "load.hpp"
 
@@ -19,11 +19,11 @@
 
 constexpr const char* service = "oogstbeurs";
 constexpr std::size_t target_count = 6;
-// Small targets, so that twice their capacity is little for the machine.
+// Small targets, so that the overload does not saturate the machine itself.
 constexpr std::int64_t overload_slots = 4;
 constexpr std::int64_t overload_service_ms = 20;
 
-/** Six targets in one place, one of them slow on request, and an entry. */
+/** @return six targets in one place and an entry node. */
 harness::cluster_options six_targets(const std::string& policy)
 {
     harness::cluster_options options;
@@ -59,7 +59,7 @@
         if (auto started = m_system.start_with_table(); !started)
             return started.reason();
         const auto table = m_system.default_table();
-        // Fills the pools and warms both ways.
+        // Warm-up of both paths and their connection pools.
         load(m_rate / 2, std::chrono::seconds(1), direct(), nullptr);
         load(m_rate / 2, std::chrono::seconds(1), mesh(), nullptr);
         const auto straight = load(m_rate, m_length, direct(), nullptr);
@@ -114,7 +114,7 @@
         return run_load(m_worker, plan, ledger);
     }
 
-    /** Offers twice what the targets can do. */
+    /** Offers twice the capacity of the targets. */
     void overload(const std::string& csv)
     {
         std::vector<row> rows;
@@ -140,7 +140,7 @@
         m_overload_p99_ms = load_met->latency(0.99);
     }
 
-    /** Resets, a killed owner and a drained target, during the load. */
+    /** Injects resets, an owner crash, a drain and refusals during the load. */
     void disturb()
     {
         sleep_for(m_worker.io(), m_length / 5);
