--- a/benchmark/slopes.cpp
+++ b/benchmark/slopes.cpp
@@ -1,4 +1,4 @@
-/** @file How state, messages, time and memory grow, for docs/CAPACITY.md. */
+/** @file Growth of state, messages, time and memory for docs/CAPACITY.md. */
 #include "experiment.hpp"
 
 #include "tillerhall/distribution/key_range.hpp"
@@ -55,7 +55,7 @@
     return config_table(std::move(made));
 }
 
-/** @return microseconds of one @p body, the median of several. */
+/** @return median time of @p body , in microseconds. */
 template <class Body>
 double time_us(Body body)
 {
@@ -77,7 +77,7 @@
     return static_cast<double>(::mallinfo2().uordblks);
 }
 
-/** Measures what grows with the number of members, fed by a fake. */
+/** Measures what grows with the number of members, on synthetic members. */
 void measure_members(points& into)
 {
     for (const std::size_t count : {300U, 700U, 1400U, 2000U, 2700U})
