--- a/benchmark/storm.cpp
+++ b/benchmark/storm.cpp
@@ -1,4 +1,4 @@
-/** @file Many nodes killed and back at once: the source must not feel it. */
+/** @file Many nodes restart at once; load on the source must stay low. */
 #include "experiment.hpp"
 
 #include "tillerhall/table/csv.hpp"
@@ -14,7 +14,7 @@
 
 constexpr std::chrono::seconds storm_limit(60);
 
-/** Watches versions and routes of all nodes during a storm. */
+/** Checks versions and routes of all nodes during the restart. */
 class storm_watch
 {
 public:
@@ -24,8 +24,8 @@
     {
     }
 
-    /** Looks at every running node once. @return whether all are at @p head
-     * and ready. */
+    /** Checks every node once. @return true if all are ready and at @p head
+     * or newer. */
     bool look(std::int64_t head)
     {
         bool all = true;
@@ -39,8 +39,8 @@
             }
             const auto version = status.at("version").to_number<std::int64_t>();
             const bool ready = status.at("phase").as_string() == "ready";
-            // A node that is ready answers calls, so from then on its
-            // address may not go back, restarts included.
+            // A ready node takes calls, so its version must not go back,
+            // not even over a restart.
             if (ready && version < m_last[i])
                 ++rollbacks;
             if (ready)
@@ -103,7 +103,7 @@
     say("killing " + std::to_string(killed) + " of " + std::to_string(count));
     for (std::size_t i = 0; i < killed; ++i)
         system.nodes()[i].runs.kill();
-    // Accepted while they are away, so that all of them come back behind.
+    // Accepted while they are down, so that all of them restart outdated.
     if (!system.accept(count - 1, changed_table(table, 7), 1, "meanwhile"))
         return 1;
     const auto survivors_before = bytes_of(system, killed);
@@ -120,7 +120,7 @@
     const std::chrono::duration<double, std::milli> took =
         steady_clock::now() - begin;
     const auto counts = system.get(system.platform(), "/admin/stats");
-    // Nodes that came back count from 0.
+    // The counters of restarted nodes begin at 0.
     const double spent = bytes_of(system, 0) - survivors_before;
     const bool held =
         back && watch.rollbacks == 0 && watch.orphan_routes == 0 && counts;
