--- a/benchmark/tiller_bench.cpp
+++ b/benchmark/tiller_bench.cpp
@@ -1,4 +1,4 @@
-/** @file The load and experiment tool: one subcommand an experiment. */
+/** @file The load and experiment tool, with a subcommand per experiment. */
 #include "experiment.hpp"
 
 #include <algorithm>
