--- a/fuzz/csv.cpp
+++ b/fuzz/csv.cpp
@@ -1,4 +1,4 @@
-/** @file Fuzzes the CSV reader: what it takes must survive a round trip. */
+/** @file Fuzzes the CSV reader: valid input must survive a round trip. */
 #include "tillerhall/table/csv.hpp"
 
 #include <cstdlib>
