--- a/fuzz/delta.cpp
+++ b/fuzz/delta.cpp
@@ -1,4 +1,4 @@
-/** @file Fuzzes updates as they come from peers, up to the gate. */
+/** @file Fuzzes table updates from peers, including the version gate. */
 #include "tillerhall/distribution/version_gate.hpp"
 
 #include <boost/json.hpp>
@@ -18,7 +18,7 @@
         return 0;
     version_gate gate([](const config_table&) { return true; });
     gate.offer(*update);
-    // Only contents that match their digest may have been taken.
+    // The gate must accept only contents that match their digest.
     if (gate.current()->version() != 0 &&
         gate.current()->table().digest() != gate.current()->digest())
         std::abort();
