--- a/fuzz/frame.cpp
+++ b/fuzz/frame.cpp
@@ -1,4 +1,4 @@
-/** @file Fuzzes JSON-RPC frames as the server gets them. */
+/** @file Fuzzes the server's decoding of JSON-RPC frames. */
 #include "tillerhall/rpc/codec.hpp"
 
 extern "C" int LLVMFuzzerTestOneInput(const unsigned char* data,
