--- a/fuzz/http.cpp
+++ b/fuzz/http.cpp
@@ -1,4 +1,4 @@
-/** @file Fuzzes request heads as the entry reads them. */
+/** @file Fuzzes the parsing of request heads at the entry node. */
 #include "tillerhall/http/inbound_call.hpp"
 #include "tillerhall/http/message.hpp"
 #include "tillerhall/node/call_context.hpp"
