--- a/fuzz/claims.cpp
+++ b/fuzz/claims.cpp
@@ -1,4 +1,4 @@
-/** @file Fuzzes claim items as read from the table service. */
+/** @file Fuzzes claim items read from the table service. */
 #include "tillerhall/routing/claim_shard.hpp"
 
 extern "C" int LLVMFuzzerTestOneInput(const unsigned char* data,
