--- a/fuzz/member.cpp
+++ b/fuzz/member.cpp
@@ -15,7 +15,7 @@
     }
     catch (const std::exception&)
     {
-        // A bad message is refused by throwing; the server counts it.
+        // Decoders reject a malformed message by throwing.
     }
 }
 
