--- a/fuzz/rollout.cpp
+++ b/fuzz/rollout.cpp
@@ -1,4 +1,4 @@
-/** @file Fuzzes what nodes tell each other of roll-outs. */
+/** @file Fuzzes the messages between nodes about roll-outs. */
 #include "tillerhall/node/messages.hpp"
 #include "tillerhall/rollout/owner_report.hpp"
 #include "tillerhall/rollout/rollout_judge.hpp"
@@ -49,7 +49,7 @@
         }
         catch (const std::exception&)
         {
-            // A bad message is refused by throwing; the server counts it.
+            // Decoders reject a malformed message by throwing.
         }
     return 0;
 }
