--- a/tools/capacity_fit.cpp
+++ b/tools/capacity_fit.cpp
@@ -1,9 +1,9 @@
 /**
- * @file Fits lines to the measured points and prints the table of
- * docs/CAPACITY.md: capacity-fit FILE.csv
+ * @file Fits lines to the points of `tiller-bench slopes` and prints the table
+ * of docs/CAPACITY.md. Usage: capacity-fit FILE.csv
  *
- * Each quantity is fitted by least squares as a + b x; for the fleet sizes a
- * line over the logarithm is fitted as well and the better one is taken.
+ * Each quantity is fitted by least squares as a + b x. Quantities over the
+ * number of nodes are also fitted as a + b log2(x), and the better fit is used.
  */
 #include <cmath>
 #include <cstdio>
@@ -23,13 +23,13 @@
     double value;
 };
 
-/** A line over x or over its logarithm, and how well it fits. */
+/** A line over x or log2(x), and its fit. */
 struct fit
 {
     double offset = 0;
     double slope = 0;
     bool logarithmic = false;
-    double worst_error = 0; ///< greatest relative distance of a point
+    double worst_error = 0; ///< greatest relative error of a point
 
     double at(double x) const
     {
@@ -37,7 +37,7 @@
     }
 };
 
-/** What each quantity grows with, and the size to design for. */
+/** Independent variables and their design sizes. */
 const std::map<std::string, double> design_sizes{
     {"members", 2700}, {"rows", 1200}, {"nodes", 2700}};
 
