--- a/examples/embed_node.cpp
+++ b/examples/embed_node.cpp
@@ -1,4 +1,4 @@
-/** @file The least program that runs a node: embed-node SETTINGS.yaml */
+/** @file Minimal program that runs a node: embed-node SETTINGS.yaml */
 #include "tillerhall/tillerhall.hpp"
 
 #include <cstdlib>
@@ -19,6 +19,6 @@
         std::cerr << opened.reason().message() << "\n";
         return 3;
     }
-    // Waiting fibers are abandoned at the end, so the process leaves at once.
+    // Exits without destructors, since fibers may still be suspended.
     std::_Exit(runs.run());
 }
