--- a/standins/platform_standin/store_standin.cpp
+++ b/standins/platform_standin/store_standin.cpp
@@ -14,8 +14,8 @@
 
 namespace json = boost::json;
 
-constexpr milliseconds feed_poll(3);
-constexpr std::chrono::minutes never(10);
+constexpr milliseconds feed_poll_interval(3);
+constexpr std::chrono::minutes hang_duration(10);
 
 http_response respond(unsigned status, const json::object& body)
 {
@@ -25,7 +25,7 @@
     return response;
 }
 
-std::uint64_t number_in(const std::string& text)
+std::uint64_t parse_number(const std::string& text)
 {
     std::uint64_t number = 0;
     std::from_chars(text.data(), text.data() + text.size(), number);
@@ -102,7 +102,7 @@
     ++m_calls;
     ++m_calls_by_table[request.param("table")];
     if (m_faults.silent)
-        sleep_for(m_worker.io(), never);
+        sleep_for(m_worker.io(), hang_duration);
     if (m_faults.down)
         return respond(503, {});
     if (request.path == "/rows-tx")
@@ -110,31 +110,31 @@
     if (request.path == "/rows-get")
         return read(request);
     if (request.path == "/rows-feed")
-        return follow(request);
+        return read_feed(request);
     return respond(404, {});
 }
 
-bool store_standin::await_turn()
+bool store_standin::await_write_slot()
 {
     if (m_faults.writes_per_s <= 0)
         return true;
     const auto now = steady_clock::now();
-    const auto begin = std::max(now, m_free_at);
+    const auto begin = std::max(now, m_write_backlog_end);
     if (begin - now > std::chrono::seconds(1))
         return false;
-    m_free_at =
+    m_write_backlog_end =
         begin + std::chrono::duration_cast<duration>(
                     std::chrono::duration<double>(1 / m_faults.writes_per_s));
-    sleep_for(m_worker.io(), m_free_at - now);
+    sleep_for(m_worker.io(), m_write_backlog_end - now);
     return true;
 }
 
 http_response store_standin::transact(const http_request& request)
 {
-    if (!await_turn())
+    if (!await_write_slot())
         return respond(429, {});
     const auto body = json::parse(request.body).as_object();
-    json::array standing;
+    json::array current_rows;
     bool holds = true;
     for (const auto& each : body.at("expectedRevision").as_array())
     {
@@ -145,10 +145,10 @@
         ++m_calls_by_table[key.table];
         holds = holds && each.at("ver").to_number<std::uint64_t>() == revision;
         if (found != m_rows.end())
-            standing.push_back(to_json(key, found->second));
+            current_rows.push_back(to_json(key, found->second));
     }
     if (!holds)
-        return respond(412, {{"rows", standing}, {"ver", m_revision}});
+        return respond(412, {{"rows", current_rows}, {"ver", m_revision}});
     ++m_revision;
     for (const auto& each : body.at("puts").as_array())
     {
@@ -197,17 +197,17 @@
     return found;
 }
 
-http_response store_standin::follow(const http_request& request)
+http_response store_standin::read_feed(const http_request& request)
 {
-    const auto after = number_in(request.param("after"));
-    const auto until =
-        steady_clock::now() + milliseconds(number_in(request.param("waitMs")));
-    if (after < m_oldest)
+    const auto after = parse_number(request.param("after"));
+    const auto until = steady_clock::now() +
+                       milliseconds(parse_number(request.param("waitMs")));
+    if (after < m_oldest_feed_revision)
         return respond(410, {});
     auto changed = changes_since(request.param("table"), after);
     while (changed.empty() && steady_clock::now() < until && !m_faults.down)
     {
-        sleep_for(m_worker.io(), feed_poll);
+        sleep_for(m_worker.io(), feed_poll_interval);
         changed = changes_since(request.param("table"), after);
     }
     if (m_faults.down)
--- a/standins/platform_standin/store_standin.hpp
+++ b/standins/platform_standin/store_standin.hpp
@@ -50,7 +50,7 @@
                 const std::string& key);
 
     /** Drops the change history: feeds from older revisions get 410. */
-    void drop_history() { m_oldest = m_revision; }
+    void drop_history() { m_oldest_feed_revision = m_revision; }
 
     /** @return the values of a table by key, over all parts. */
     std::map<std::string, std::string> values(const std::string& table) const;
@@ -82,10 +82,10 @@
 
     http_response answer(const http_request& request);
     /** Delays a write to the write rate. @return false if it is refused. */
-    bool await_turn();
+    bool await_write_slot();
     http_response transact(const http_request& request);
     http_response read(const http_request& request);
-    http_response follow(const http_request& request);
+    http_response read_feed(const http_request& request);
     std::vector<change> changes_since(const std::string& table,
                                       std::uint64_t revision) const;
     static boost::json::object to_json(const row_key& key, const row& shown);
@@ -97,10 +97,11 @@
     std::map<row_key, row> m_rows;
     std::vector<change> m_changes;
     std::uint64_t m_revision = 0;
-    std::uint64_t m_oldest = 0; ///< changes up to this revision are dropped
+    std::uint64_t m_oldest_feed_revision =
+        0; ///< changes up to this revision are dropped
     std::uint64_t m_calls = 0;
     std::map<std::string, std::uint64_t> m_calls_by_table;
-    time_point m_free_at{}; ///< end of the last delayed write
+    time_point m_write_backlog_end{}; ///< end of the last delayed write
 };
 
 } // namespace tillerhall
