--- a/standins/platform_standin/reporting_target.cpp
+++ b/standins/platform_standin/reporting_target.cpp
@@ -18,7 +18,7 @@
 namespace http = boost::beast::http;
 
 constexpr const char* id_field = "X-Request-Attempt-Id";
-constexpr const char* proof_field = "X-Response-Seal";
+constexpr const char* seal_field = "X-Response-Seal";
 constexpr std::chrono::minutes idle_timeout(5);
 constexpr std::chrono::seconds report_timeout(3);
 
@@ -27,10 +27,10 @@
 {
     if (!call.read_prefix())
         return false;
-    std::array<char, 16 * 1024> piece{};
+    std::array<char, 16 * 1024> chunk{};
     while (true)
     {
-        const auto size = call.read_piece(piece);
+        const auto size = call.read_piece(chunk);
         if (!size || *size == 0)
             return size.has_value();
     }
@@ -65,24 +65,24 @@
     m_listener->start([this](tcp_stream& stream) { serve(stream); });
 }
 
-bool reporting_target::take(unsigned& trick)
+bool reporting_target::consume(unsigned& count)
 {
-    if (trick == 0)
+    if (count == 0)
         return false;
-    --trick;
+    --count;
     return true;
 }
 
-bool reporting_target::is_bad(std::string_view path)
+bool reporting_target::must_fail(std::string_view path)
 {
     if (!path.starts_with(m_tricks.failing_prefix) ||
         m_running < m_tricks.failing_load ||
         steady_clock::now() < m_tricks.failing_from)
         return false;
-    m_failing += m_tricks.failing;
-    if (m_failing < 1)
+    m_failure_carry += m_tricks.failing;
+    if (m_failure_carry < 1)
         return false;
-    --m_failing;
+    --m_failure_carry;
     return true;
 }
 
@@ -102,7 +102,7 @@
     m_has_ended = true;
     m_listener->close();
     // The accept fiber still uses the listener, so it must not be destroyed.
-    m_closed.push_back(std::move(m_listener));
+    m_closed_listeners.push_back(std::move(m_listener));
     for (auto* each : m_streams)
         reset(*each);
 }
@@ -123,8 +123,8 @@
         {"zone", "d1"},         {"version", m_release},
         {"slots", 4},           {"state", state},
         {"sequence", sequence}, {"coldRemaining", m_cold_for.count()}};
-    if (m_born_ms != 0)
-        body["born"] = m_born_ms;
+    if (m_start_time_ms != 0)
+        body["born"] = m_start_time_ms;
     api_client client(m_worker.io(), to);
     const auto answer =
         client.call("POST", "/instances/" + m_id + "/heartbeat",
@@ -143,11 +143,11 @@
 void reporting_target::serve(tcp_stream& stream)
 {
     m_streams.insert(&stream);
-    serve_each(stream);
+    serve_calls(stream);
     m_streams.erase(&stream);
 }
 
-void reporting_target::serve_each(tcp_stream& stream)
+void reporting_target::serve_calls(tcp_stream& stream)
 {
     boost::beast::flat_buffer buffer;
     while (stream.socket().is_open())
@@ -163,7 +163,7 @@
 {
     if (call.head()["X-Expect-Instance"] != m_id)
         return read_rest(call) && send(call, 421, true);
-    if (take(m_tricks.early_answers))
+    if (consume(m_tricks.early_answers))
     {
         m_runs.push_back(
             {std::string(call.head()[id_field]), "", "", "", "", {}, "", ""});
@@ -171,7 +171,7 @@
     }
     if (!read_rest(call))
         return false;
-    if (take(m_tricks.shed))
+    if (consume(m_tricks.shed))
         return send(call, 503, true);
     m_runs.push_back({std::string(call.head()[id_field]),
                       std::string(call.head()["X-Caller-Service"]),
@@ -181,20 +181,20 @@
                       std::string(call.head()["Authorization"])});
     const auto start = m_times_ended;
     ++m_running;
-    const bool is_bad_run = is_bad(call.head().target());
-    const bool ends = call.head().target() == m_tricks.ends_under;
+    const bool injected_failure = must_fail(call.head().target());
+    const bool crashes = call.head().target() == m_tricks.ends_under;
     sleep_for(m_worker.io(), m_tricks.work);
     --m_running;
-    if (ends && !m_has_ended)
+    if (crashes && !m_has_ended)
         end();
     if (start != m_times_ended)
         return false;
-    if (take(m_tricks.reset_answers))
+    if (consume(m_tricks.reset_answers))
     {
         reset(call.stream());
         return false;
     }
-    const bool fails = take(m_tricks.fail) || is_bad_run;
+    const bool fails = consume(m_tricks.fail) || injected_failure;
     return send(call, fails ? 500 : 200, false);
 }
 
@@ -205,23 +205,23 @@
     response.set("X-Instance-Id", m_id);
     if (not_run)
         response.set("X-Not-Executed", "1");
-    else if (!take(m_tricks.unproved_answers))
-        response.set(proof_field, "proof-" + m_id);
+    else if (!consume(m_tricks.unproved_answers))
+        response.set(seal_field, "proof-" + m_id);
     response.body() = "answer to " + std::string(call.head()[id_field]);
     response.prepare_payload();
     auto text = text_of(response);
-    const bool cut = take(m_tricks.short_answers);
-    if (cut)
+    const bool truncated = consume(m_tricks.short_answers);
+    if (truncated)
         text.resize(text.size() - 3);
-    else if (take(m_tricks.late_answers))
+    else if (consume(m_tricks.late_answers))
         text += text;
     boost::system::error_code failed;
     call.stream().expires_after(idle_timeout);
     boost::asio::async_write(call.stream(), boost::asio::buffer(text),
                              await{failed});
-    if (cut)
+    if (truncated)
         reset(call.stream());
-    return !failed && !cut;
+    return !failed && !truncated;
 }
 
 } // namespace tillerhall
--- a/standins/platform_standin/reporting_target.hpp
+++ b/standins/platform_standin/reporting_target.hpp
@@ -59,7 +59,7 @@
     /** Sets the remaining cold time in its reports. */
     void set_cold_for(milliseconds span) { m_cold_for = span; }
     /** Sets the start time in its reports, Unix milliseconds; 0 omits it. */
-    void set_born_ms(std::uint64_t at) { m_born_ms = at; }
+    void set_start_time_ms(std::uint64_t at) { m_start_time_ms = at; }
     target_tricks& tricks() noexcept { return m_tricks; }
     const std::vector<target_run>& runs() const noexcept { return m_runs; }
 
@@ -85,12 +85,12 @@
 
 private:
     void serve(tcp_stream& stream);
-    void serve_each(tcp_stream& stream);
+    void serve_calls(tcp_stream& stream);
     bool serve_one(inbound_call& call);
     bool send(inbound_call& call, unsigned status, bool not_run);
-    static bool take(unsigned& trick);
+    static bool consume(unsigned& count);
     /** @return true if the next run of @p path must fail. */
-    bool is_bad(std::string_view path);
+    bool must_fail(std::string_view path);
 
     worker& m_worker;
     std::unique_ptr<listener> m_listener;
@@ -99,14 +99,15 @@
     std::string m_service;
     std::string m_release = "v1";
     milliseconds m_cold_for{0};
-    std::uint64_t m_born_ms = 0;
+    std::uint64_t m_start_time_ms = 0;
     unsigned m_running = 0;
-    double m_failing = 0; ///< fraction of a failure carried to the next run
+    double m_failure_carry =
+        0; ///< fraction of a failure carried to the next run
     target_tricks m_tricks;
     std::vector<target_run> m_runs;
     std::uint64_t m_sequence = 0;
     std::set<tcp_stream*> m_streams; ///< open connections
-    std::vector<std::unique_ptr<listener>> m_closed;
+    std::vector<std::unique_ptr<listener>> m_closed_listeners;
     unsigned m_times_ended = 0;
     bool m_has_ended = false;
 };
