--- a/standins/target/main.cpp
+++ b/standins/target/main.cpp
@@ -1,5 +1,5 @@
 /** @file Stand-in for a target, with injected faults and run counts. */
-#include "target_state.hpp"
+#include "target_standin.hpp"
 
 #include "tillerhall/core/worker.hpp"
 #include "tillerhall/http/listener.hpp"
@@ -30,7 +30,7 @@
         return 3;
     }
     const auto local = (*opened)->local().text();
-    target_state_standin target(runs, local);
+    target_standin target(runs, local);
     boost::system::error_code failed;
     const auto behaviour =
         boost::json::parse(given["behave"].as<std::string>(), failed);
--- a/standins/target/target_state.cpp
+++ b/standins/target/target_standin.cpp
@@ -1,4 +1,4 @@
-#include "target_state.hpp"
+#include "target_standin.hpp"
 
 #include "tillerhall/core/await.hpp"
 #include "tillerhall/core/worker.hpp"
@@ -19,9 +19,9 @@
 namespace json = boost::json;
 
 constexpr const char* not_run_header = "X-Not-Run";
-constexpr milliseconds sample_every(20);
+constexpr milliseconds sample_interval(20);
 constexpr std::chrono::minutes idle_timeout(5);
-constexpr std::size_t piece_bytes = 64 * 1024;
+constexpr std::size_t chunk_bytes = 64 * 1024;
 
 struct behaviour_entry
 {
@@ -73,9 +73,9 @@
     return response;
 }
 
-std::int64_t number_in(const std::string& text, std::int64_t otherwise)
+std::int64_t parse_number(const std::string& text, std::int64_t fallback)
 {
-    std::int64_t number = otherwise;
+    std::int64_t number = fallback;
     std::from_chars(text.data(), text.data() + text.size(), number);
     return number;
 }
@@ -104,7 +104,7 @@
 
 } // namespace
 
-target_state_standin::target_state_standin(worker& on, std::string name)
+target_standin::target_standin(worker& on, std::string name)
     : m_worker(on)
     , m_name(std::move(name))
     , m_start(steady_clock::now())
@@ -112,7 +112,7 @@
     m_worker.spawn([this] { sample(); });
 }
 
-void target_state_standin::sample()
+void target_standin::sample()
 {
     constexpr std::size_t most_samples = 3000;
     while (true)
@@ -121,26 +121,26 @@
             {steady_clock::now(), m_behaviour.drain != 0, m_counts.running});
         if (m_samples.size() > most_samples)
             m_samples.pop_front();
-        sleep_for(m_worker.io(), sample_every);
+        sleep_for(m_worker.io(), sample_interval);
     }
 }
 
-target_state_standin::load_sample target_state_standin::lagging()
+target_standin::load_sample target_standin::lagged_load()
 {
     load_sample shown{steady_clock::now(), m_behaviour.drain != 0,
                       m_counts.running};
     if (m_behaviour.health_lag_ms == 0)
         return shown;
-    const auto then =
+    const auto cutoff =
         steady_clock::now() - milliseconds(m_behaviour.health_lag_ms);
     shown.draining = false;
     for (const auto& each : m_samples)
-        if (each.at <= then)
+        if (each.at <= cutoff)
             shown = each;
     return shown;
 }
 
-bool target_state_standin::set_behaviour(const json::object& body)
+bool target_standin::set_behaviour(const json::object& body)
 {
     for (const auto& each : body)
     {
@@ -154,15 +154,16 @@
     return true;
 }
 
-http_response target_state_standin::answer(const http_request& request)
+http_response target_standin::answer(const http_request& request)
 {
     if (request.path == "/health")
     {
-        const bool well = m_behaviour.lie_healthy != 0 || !lagging().draining;
-        return respond(well ? 200 : 503, json::object{{"well", well}});
+        const bool healthy =
+            m_behaviour.lie_healthy != 0 || !lagged_load().draining;
+        return respond(healthy ? 200 : 503, json::object{{"well", healthy}});
     }
     if (request.path == "/load")
-        return respond(200, json::object{{"running", lagging().running},
+        return respond(200, json::object{{"running", lagged_load().running},
                                          {"slots", m_behaviour.slots}});
     if (request.path == "/admin/runs")
     {
@@ -189,7 +190,7 @@
     return respond(404, json::object{});
 }
 
-void target_state_standin::serve(tcp_stream& stream)
+void target_standin::serve(tcp_stream& stream)
 {
     ++m_counts.open;
     m_counts.most_open = std::max(m_counts.most_open, m_counts.open);
@@ -207,13 +208,13 @@
     --m_counts.open;
 }
 
-void target_state_standin::serve_call(inbound_call& call)
+void target_standin::serve_call(inbound_call& call)
 {
     std::string target(call.head().target());
     if (is_own_path(target.substr(0, target.find('?'))))
     {
         if (call.read_prefix())
-            send_small(call, answer(to_request(call)));
+            send_response(call, answer(to_request(call)));
         return;
     }
     if (m_behaviour.shed != 0 || m_counts.running >= m_behaviour.slots)
@@ -230,7 +231,7 @@
     --m_counts.running;
 }
 
-void target_state_standin::run_call(inbound_call& call)
+void target_standin::run_call(inbound_call& call)
 {
     ++m_counts.runs;
     m_counts.last_run_us = wall_clock_us();
@@ -242,14 +243,14 @@
         return;
     }
     const auto request = to_request(call);
-    auto ms = number_in(request.param("sleep_ms"), m_behaviour.service_ms);
+    auto ms = parse_number(request.param("sleep_ms"), m_behaviour.service_ms);
     const auto age = to_ms(steady_clock::now() - m_start);
     if (age < m_behaviour.cold_ms)
         ms *= m_behaviour.cold_factor;
     const std::string deadline(call.head()[field_name::deadline]);
-    if (!deadline.empty() && number_in(deadline, 0) < ms)
+    if (!deadline.empty() && parse_number(deadline, 0) < ms)
         ++m_counts.deadline_passed;
-    if (!wait_for_service(call, ms))
+    if (!simulate_service(call, ms))
     {
         ++m_counts.cancelled;
         return;
@@ -262,16 +263,16 @@
     send_answer(call, bytes);
 }
 
-bool target_state_standin::read_rest(inbound_call& call, std::uint64_t& bytes)
+bool target_standin::read_rest(inbound_call& call, std::uint64_t& bytes)
 {
     call.stream().expires_after(idle_timeout);
     if (!call.read_prefix())
         return false;
     bytes = call.prefix().size();
-    std::vector<char> piece(piece_bytes);
+    std::vector<char> chunk(chunk_bytes);
     while (true)
     {
-        const auto size = call.read_piece(piece);
+        const auto size = call.read_piece(chunk);
         if (!size)
             return false;
         if (*size == 0)
@@ -280,7 +281,7 @@
     }
 }
 
-bool target_state_standin::wait_for_service(inbound_call& call, std::int64_t ms)
+bool target_standin::simulate_service(inbound_call& call, std::int64_t ms)
 {
     constexpr std::int64_t check_ms = 10;
     const auto until = steady_clock::now() + milliseconds(ms);
@@ -297,12 +298,12 @@
     return true;
 }
 
-void target_state_standin::send_answer(inbound_call& call, std::uint64_t bytes)
+void target_standin::send_answer(inbound_call& call, std::uint64_t bytes)
 {
     const auto request = to_request(call);
     if (!request.param("end").empty())
         std::_Exit(1); // simulates a crash caused by the call
-    const auto size = number_in(request.param("answer_bytes"), 0);
+    const auto size = parse_number(request.param("answer_bytes"), 0);
     http::response<http::string_body> response(
         m_behaviour.fail != 0 ? http::status::internal_server_error
                               : http::status::ok,
@@ -332,7 +333,7 @@
     http::async_write(call.stream(), response, await{failed});
 }
 
-void target_state_standin::send_refusal(inbound_call& call)
+void target_standin::send_refusal(inbound_call& call)
 {
     http::response<http::string_body> response(
         http::status::service_unavailable, 11);
@@ -344,12 +345,12 @@
     http::async_write(call.stream(), response, await{failed});
 }
 
-void target_state_standin::send_small(inbound_call& call,
-                                      const http_response& small)
+void target_standin::send_response(inbound_call& call,
+                                   const http_response& content)
 {
     http::response<http::string_body> response(
-        static_cast<http::status>(small.status), 11);
-    response.body() = small.body;
+        static_cast<http::status>(content.status), 11);
+    response.body() = content.body;
     response.prepare_payload();
     response.keep_alive(call.can_keep_alive());
     boost::system::error_code failed;
--- a/standins/target/target_state.hpp
+++ b/standins/target/target_standin.hpp
@@ -49,10 +49,10 @@
 };
 
 /** A target on one worker. */
-class target_state_standin
+class target_standin
 {
 public:
-    target_state_standin(worker& on, std::string name);
+    target_standin(worker& on, std::string name);
 
     /** Serves one connection. */
     void serve(tcp_stream& stream);
@@ -74,11 +74,11 @@
     void serve_call(inbound_call& call);
     void run_call(inbound_call& call);
     bool read_rest(inbound_call& call, std::uint64_t& bytes);
-    bool wait_for_service(inbound_call& call, std::int64_t ms);
+    bool simulate_service(inbound_call& call, std::int64_t ms);
     void send_answer(inbound_call& call, std::uint64_t bytes);
     void send_refusal(inbound_call& call);
-    void send_small(inbound_call& call, const http_response& response);
-    load_sample lagging();
+    void send_response(inbound_call& call, const http_response& response);
+    load_sample lagged_load();
     void sample();
 
     worker& m_worker;
