--- a/standins/faultproxy.cpp
+++ b/standins/faultproxy.cpp
@@ -26,7 +26,7 @@
 using namespace tillerhall;
 namespace json = boost::json;
 
-constexpr std::size_t piece_bytes = 16 * 1024;
+constexpr std::size_t chunk_bytes = 16 * 1024;
 constexpr std::chrono::hours no_timeout(24);
 
 /** Fault on connections from one IP prefix to another. */
@@ -43,10 +43,10 @@
 };
 
 /** A proxied connection. */
-struct passed_link
+struct proxied_connection
 {
-    std::shared_ptr<tcp_stream> near;
-    std::shared_ptr<tcp_stream> far;
+    std::shared_ptr<tcp_stream> client;
+    std::shared_ptr<tcp_stream> server;
     std::string from;
     std::string to;
     std::int64_t jitter_ms = 0;
@@ -97,7 +97,7 @@
                              {"error", opened.reason().message()}})};
         const auto local = (*opened)->local().text();
         (*opened)->start([this, to = *to](tcp_stream& stream)
-                         { pass(stream, to); });
+                         { serve_connection(stream, to); });
         m_listeners.push_back(std::move(*opened));
         return {200, json::serialize(json::object{{"listen", local}})};
     }
@@ -126,30 +126,30 @@
                  number(rule, "delay_ms"), number(rule, "jitter_ms"),
                  flag(rule, "reset_on_answer")});
         }
-        for (const auto& each : m_links)
+        for (const auto& each : m_connections)
             if (const auto* rule = rule_for(each.from, each.to);
                 rule != nullptr && rule->cut)
-                break_link(each);
+                close_connection(each);
         return {200, "{}"};
     }
 
     const fault_rule* rule_for(const std::string& from,
                                const std::string& to) const
     {
-        const auto fits = [&](const fault_rule& each)
+        const auto matches = [&](const fault_rule& each)
         { return from.starts_with(each.from) && to.starts_with(each.to); };
-        const auto found = std::ranges::find_if(m_rules, fits);
+        const auto found = std::ranges::find_if(m_rules, matches);
         return found == m_rules.end() ? nullptr : &*found;
     }
 
-    static void break_link(const passed_link& link)
+    static void close_connection(const proxied_connection& connection)
     {
         boost::system::error_code ignored;
-        link.near->socket().close(ignored);
-        link.far->socket().close(ignored);
+        connection.client->socket().close(ignored);
+        connection.server->socket().close(ignored);
     }
 
-    void pass(tcp_stream& stream, const address& to)
+    void serve_connection(tcp_stream& stream, const address& to)
     {
         boost::system::error_code failed;
         const auto from =
@@ -157,57 +157,60 @@
         const auto* rule = rule_for(from, to.ip);
         if (failed || (rule != nullptr && rule->cut))
             return;
-        auto far = connect_stream(m_worker.io(), to, std::chrono::seconds(5));
-        if (!far)
+        auto server =
+            connect_stream(m_worker.io(), to, std::chrono::seconds(5));
+        if (!server)
             return;
         const auto jitter =
             rule == nullptr || rule->jitter_ms == 0
                 ? 0
                 : static_cast<std::int64_t>(m_random.below(
                       static_cast<std::uint64_t>(rule->jitter_ms)));
-        m_links.push_back({std::make_shared<tcp_stream>(std::move(stream)),
-                           std::shared_ptr<tcp_stream>(std::move(*far)), from,
-                           to.ip, jitter});
-        const auto link = std::prev(m_links.end());
-        run_parallel({[&] { pump(*link, true); }, [&] { pump(*link, false); }});
-        m_links.erase(link);
+        m_connections.push_back(
+            {std::make_shared<tcp_stream>(std::move(stream)),
+             std::shared_ptr<tcp_stream>(std::move(*server)), from, to.ip,
+             jitter});
+        const auto connection = std::prev(m_connections.end());
+        run_parallel({[&] { pump(*connection, true); },
+                      [&] { pump(*connection, false); }});
+        m_connections.erase(connection);
     }
 
-    void pump(passed_link& link, bool forth)
+    void pump(proxied_connection& connection, bool to_server)
     {
-        auto& source = forth ? *link.near : *link.far;
-        auto& sink = forth ? *link.far : *link.near;
-        std::vector<char> piece(piece_bytes);
+        auto& source = to_server ? *connection.client : *connection.server;
+        auto& sink = to_server ? *connection.server : *connection.client;
+        std::vector<char> chunk(chunk_bytes);
         boost::system::error_code failed;
         while (!failed)
         {
             source.expires_after(no_timeout);
-            const auto size = source.async_read_some(boost::asio::buffer(piece),
+            const auto size = source.async_read_some(boost::asio::buffer(chunk),
                                                      await{failed});
             if (failed)
                 break;
-            const auto* rule = rule_for(link.from, link.to);
+            const auto* rule = rule_for(connection.from, connection.to);
             if (rule != nullptr)
             {
-                if (rule->reset_on_answer && !forth)
+                if (rule->reset_on_answer && !to_server)
                     break;
-                if (forth ? rule->lose_requests : rule->lose_answers)
+                if (to_server ? rule->lose_requests : rule->lose_answers)
                     continue;
-                const auto delay = rule->delay_ms + link.jitter_ms;
+                const auto delay = rule->delay_ms + connection.jitter_ms;
                 if (delay > 0)
                     sleep_for(m_worker.io(), milliseconds(delay));
             }
             sink.expires_after(no_timeout);
             boost::asio::async_write(
-                sink, boost::asio::buffer(piece.data(), size), await{failed});
+                sink, boost::asio::buffer(chunk.data(), size), await{failed});
         }
-        break_link(link);
+        close_connection(connection);
     }
 
     worker& m_worker;
     random_source m_random{1};
     std::vector<fault_rule> m_rules;
-    std::list<passed_link> m_links;
+    std::list<proxied_connection> m_connections;
     std::vector<std::unique_ptr<listener>> m_listeners;
 };
 
