--- a/standins/faultproxy.cpp
+++ b/standins/faultproxy.cpp
@@ -216,20 +216,20 @@
 
 int run(const std::string& at)
 {
-    const auto where = address::parse(at);
-    if (!where)
+    const auto listen_address = address::parse(at);
+    if (!listen_address)
     {
-        std::cerr << where.reason().message() << "\n";
+        std::cerr << listen_address.reason().message() << "\n";
         return 2;
     }
-    worker runs;
-    auto opened = listener::open(runs, *where);
+    worker main_worker;
+    auto opened = listener::open(main_worker, *listen_address);
     if (!opened)
     {
         std::cerr << opened.reason().message() << "\n";
         return 3;
     }
-    fault_proxy proxy(runs);
+    fault_proxy proxy(main_worker);
     (*opened)->start(
         [&](tcp_stream& stream)
         {
@@ -238,7 +238,7 @@
         });
     std::cout << R"({"event":"listening","address":")"
               << (*opened)->local().text() << "\"}" << std::endl;
-    runs.run();
+    main_worker.run();
     return 0;
 }
 
--- a/standins/platform/main.cpp
+++ b/standins/platform/main.cpp
@@ -16,20 +16,21 @@
 
 int run(const std::string& at)
 {
-    const auto where = address::parse(at);
-    if (!where)
+    const auto listen_address = address::parse(at);
+    if (!listen_address)
     {
-        std::cerr << where.reason().message() << "\n";
+        std::cerr << listen_address.reason().message() << "\n";
         return 2;
     }
-    worker runs;
-    auto opened = listener::open(runs, *where);
+    worker main_worker;
+    auto opened = listener::open(main_worker, *listen_address);
     if (!opened)
     {
         std::cerr << opened.reason().message() << "\n";
         return 3;
     }
-    platform_state state([&](duration span) { sleep_for(runs.io(), span); });
+    platform_state state([&](duration span)
+                         { sleep_for(main_worker.io(), span); });
     api_limits limits;
     limits.body_bytes = 64 * 1024 * 1024;
     (*opened)->start(
@@ -43,7 +44,7 @@
         });
     std::cout << R"({"event":"listening","address":")"
               << (*opened)->local().text() << "\"}" << std::endl;
-    runs.run();
+    main_worker.run();
     return 0;
 }
 
--- a/standins/target/main.cpp
+++ b/standins/target/main.cpp
@@ -16,21 +16,22 @@
 
 int run(const cxxopts::ParseResult& given)
 {
-    const auto where = address::parse(given["listen"].as<std::string>());
-    if (!where)
+    const auto listen_address =
+        address::parse(given["listen"].as<std::string>());
+    if (!listen_address)
     {
-        std::cerr << where.reason().message() << "\n";
+        std::cerr << listen_address.reason().message() << "\n";
         return 2;
     }
-    worker runs;
-    auto opened = listener::open(runs, *where);
+    worker main_worker;
+    auto opened = listener::open(main_worker, *listen_address);
     if (!opened)
     {
         std::cerr << opened.reason().message() << "\n";
         return 3;
     }
     const auto local = (*opened)->local().text();
-    target_standin target(runs, local);
+    target_standin target(main_worker, local);
     boost::system::error_code failed;
     const auto behaviour =
         boost::json::parse(given["behave"].as<std::string>(), failed);
@@ -43,7 +44,7 @@
     (*opened)->start([&](tcp_stream& stream) { target.serve(stream); });
     std::cout << R"({"event":"listening","address":")" << local << "\"}"
               << std::endl;
-    runs.run();
+    main_worker.run();
     return 0;
 }
 
