--- a/benchmark/harness/cluster.cpp
+++ b/benchmark/harness/cluster.cpp
@@ -17,7 +17,7 @@
 
 namespace json = boost::json;
 
-constexpr milliseconds check_every(10);
+constexpr milliseconds poll_interval(10);
 constexpr std::size_t seed_count = 3;
 
 std::vector<placement> repeat(const std::vector<placement>& pattern,
@@ -31,8 +31,9 @@
 
 /** @return placements of six targets of the first service, four of the second
  * and three of the third, spread over @p domains . */
-std::vector<placement> thirteen(const std::vector<std::string>& services,
-                                const std::vector<std::string>& domains)
+std::vector<placement>
+deployment_layout(const std::vector<std::string>& services,
+                  const std::vector<std::string>& domains)
 {
     const std::vector<std::size_t> counts{6, 4, 3};
     std::vector<placement> placed;
@@ -62,9 +63,10 @@
 cluster_options akkerbond(std::size_t nodes)
 {
     cluster_options options;
-    options.placements = repeat(thirteen({"perceel", "oogstbeurs", "schuur"},
-                                         {"polder-a", "polder-b", "polder-c"}),
-                                nodes);
+    options.placements =
+        repeat(deployment_layout({"perceel", "oogstbeurs", "schuur"},
+                                 {"polder-a", "polder-b", "polder-c"}),
+               nodes);
     options.region = "nl-west";
     options.settings = {{"mesh.heartbeat_ms", "500"},
                         {"distribution.poll_ms", "1000"},
@@ -77,8 +79,8 @@
 {
     cluster_options options;
     options.placements =
-        repeat(thirteen({"preview-desk", "job-ledger", "model-intake"},
-                        {"hall-a", "hall-b", "hall-c"}),
+        repeat(deployment_layout({"preview-desk", "job-ledger", "model-intake"},
+                                 {"hall-a", "hall-b", "hall-c"}),
                nodes);
     options.region = "kingston";
     options.settings = {{"mesh.heartbeat_ms", "1000"},
@@ -278,10 +280,10 @@
     }
     std::string seeds;
     // The first start, which only allocates the ports, must not join the mesh.
-    const bool meets =
+    const bool joins_mesh =
         !m_options.with_faultproxy || node.advertise_rpc.port != 0;
     for (std::size_t i = 0; i < std::min(seed_count + 1, m_nodes.size()); ++i)
-        if (meets && i != index && m_nodes[i].advertise_rpc.port != 0)
+        if (joins_mesh && i != index && m_nodes[i].advertise_rpc.port != 0)
             seeds +=
                 (seeds.empty() ? "" : ", ") + m_nodes[i].advertise_rpc.text();
     all["mesh.seeds"] = "[" + seeds + "]";
@@ -299,12 +301,12 @@
         file << name << ":\n" << lines;
 }
 
-result<void> cluster::start_node(std::size_t index, bool again)
+result<void> cluster::start_node(std::size_t index, bool is_restart)
 {
     auto& node = m_nodes[index];
     // The proxy needs the node's ports before the node advertises its
     // addresses, so a first short run allocates them.
-    const bool needs_ports = m_options.with_faultproxy && !again;
+    const bool needs_ports = m_options.with_faultproxy && !is_restart;
     write_settings(index);
     const auto base = m_folder + "/node-" + std::to_string(index);
     const auto launch = [&]() -> result<void>
@@ -345,8 +347,8 @@
 result<void> cluster::restart(std::size_t index)
 {
     m_nodes[index].runs.kill();
-    const bool again = m_nodes[index].rpc.port != 0;
-    return start_node(index, again);
+    const bool is_restart = m_nodes[index].rpc.port != 0;
+    return start_node(index, is_restart);
 }
 
 void cluster::register_hosts()
@@ -380,7 +382,7 @@
     {
         if (holds())
             return true;
-        sleep_for(m_worker.io(), check_every);
+        sleep_for(m_worker.io(), poll_interval);
     }
     return holds();
 }
--- a/benchmark/harness/cluster.hpp
+++ b/benchmark/harness/cluster.hpp
@@ -137,10 +137,11 @@
     std::string default_table() const;
 
 private:
-    result<boost::json::object> send(const address& to, const api_call& made);
+    result<boost::json::object> send(const address& to,
+                                     const api_call& request);
     result<void> start_platform();
     result<void> start_targets();
-    result<void> start_node(std::size_t index, bool again);
+    result<void> start_node(std::size_t index, bool is_restart);
     result<void> add_links(node_process& node);
     result<address> add_link(const address& to, const std::string& ip);
     void write_settings(std::size_t index);
--- a/benchmark/harness/cluster_operations.cpp
+++ b/benchmark/harness/cluster_operations.cpp
@@ -42,12 +42,12 @@
     return send(to, {"POST", path, json::serialize(body), m_token});
 }
 
-result<json::object> cluster::send(const address& to, const api_call& made)
+result<json::object> cluster::send(const address& to, const api_call& request)
 {
     auto& client = m_clients[to];
     if (!client)
         client = std::make_unique<api_client>(m_worker.io(), to);
-    const auto response = client->send(made, call_timeout);
+    const auto response = client->send(request, call_timeout);
     if (!response)
         return response.reason();
     boost::system::error_code failed;
