--- a/benchmark/harness/process.cpp
+++ b/benchmark/harness/process.cpp
@@ -22,9 +22,9 @@
 constexpr int startup_timeout_ms = 30'000;
 
 /** Null-terminated array of C strings for posix_spawn, with its storage. */
-struct text_vector
+struct c_string_array
 {
-    explicit text_vector(std::vector<std::string> given)
+    explicit c_string_array(std::vector<std::string> given)
         : texts(std::move(given))
     {
         for (auto& each : texts)
@@ -53,18 +53,18 @@
 
 int exit_code(int status)
 {
-    constexpr int killed_base = 128;
+    constexpr int signal_exit_base = 128;
     return WIFEXITED(status) ? WEXITSTATUS(status)
-                             : killed_base + WTERMSIG(status);
+                             : signal_exit_base + WTERMSIG(status);
 }
 
 std::string read_all(int file)
 {
     std::string text;
-    std::array<char, 4096> piece{};
+    std::array<char, 4096> chunk{};
     ssize_t size = 0;
-    while ((size = ::read(file, piece.data(), piece.size())) > 0)
-        text.append(piece.data(), static_cast<std::size_t>(size));
+    while ((size = ::read(file, chunk.data(), chunk.size())) > 0)
+        text.append(chunk.data(), static_cast<std::size_t>(size));
     ::close(file);
     return text;
 }
@@ -74,22 +74,22 @@
 process::~process()
 {
     kill();
-    if (m_out >= 0)
-        ::close(m_out);
+    if (m_stdout >= 0)
+        ::close(m_stdout);
 }
 
 process::process(process&& other) noexcept
     : m_pid(std::exchange(other.m_pid, -1))
-    , m_out(std::exchange(other.m_out, -1))
-    , m_code(other.m_code)
+    , m_stdout(std::exchange(other.m_stdout, -1))
+    , m_exit_code(other.m_exit_code)
 {
 }
 
 process& process::operator=(process&& other) noexcept
 {
     std::swap(m_pid, other.m_pid);
-    std::swap(m_out, other.m_out);
-    std::swap(m_code, other.m_code);
+    std::swap(m_stdout, other.m_stdout);
+    std::swap(m_exit_code, other.m_exit_code);
     return *this;
 }
 
@@ -110,17 +110,17 @@
     // An inherited listening socket would keep accepting connections that
     // nobody serves after this process closes it.
     posix_spawn_file_actions_addclosefrom_np(&actions, STDERR_FILENO + 1);
-    text_vector arguments(argv);
-    text_vector variables(environment_with(environment));
+    c_string_array arguments(argv);
+    c_string_array variables(environment_with(environment));
     const int failed =
         ::posix_spawn(&m_pid, argv[0].c_str(), &actions, nullptr,
                       arguments.pointers.data(), variables.pointers.data());
     posix_spawn_file_actions_destroy(&actions);
     ::close(pipe[1]);
-    if (m_out >= 0)
-        ::close(m_out);
-    m_out = pipe[0];
-    m_code = -1;
+    if (m_stdout >= 0)
+        ::close(m_stdout);
+    m_stdout = pipe[0];
+    m_exit_code = -1;
     if (failed == 0)
         return {};
     m_pid = -1;
@@ -135,9 +135,9 @@
     char byte = 0;
     while (byte != '\n')
     {
-        pollfd waiting{m_out, POLLIN, 0};
+        pollfd waiting{m_stdout, POLLIN, 0};
         if (::poll(&waiting, 1, startup_timeout_ms) != 1 ||
-            ::read(m_out, &byte, 1) != 1)
+            ::read(m_stdout, &byte, 1) != 1)
             return error(error_code::not_ready,
                          "the program exited before it listened",
                          "see its log");
@@ -159,14 +159,14 @@
 int process::wait()
 {
     if (m_pid <= 0)
-        return m_code;
+        return m_exit_code;
     int status = 0;
     while (::waitpid(m_pid, &status, 0) < 0 && errno == EINTR)
     {
     }
     m_pid = -1;
-    m_code = exit_code(status);
-    return m_code;
+    m_exit_code = exit_code(status);
+    return m_exit_code;
 }
 
 void process::kill()
@@ -185,7 +185,7 @@
     if (::waitpid(m_pid, &status, WNOHANG) != m_pid)
         return true;
     m_pid = -1;
-    m_code = exit_code(status);
+    m_exit_code = exit_code(status);
     return false;
 }
 
@@ -230,8 +230,8 @@
     posix_spawn_file_actions_adddup2(&actions, in[0], STDIN_FILENO);
     posix_spawn_file_actions_adddup2(&actions, out[1], STDOUT_FILENO);
     posix_spawn_file_actions_adddup2(&actions, err[1], STDERR_FILENO);
-    text_vector arguments(argv);
-    text_vector variables(environment_with(environment));
+    c_string_array arguments(argv);
+    c_string_array variables(environment_with(environment));
     pid_t pid = -1;
     const int failed =
         ::posix_spawn(&pid, argv[0].c_str(), &actions, nullptr,
--- a/benchmark/harness/process.hpp
+++ b/benchmark/harness/process.hpp
@@ -59,8 +59,8 @@
 
 private:
     pid_t m_pid = -1;
-    int m_out = -1;
-    int m_code = -1;
+    int m_stdout = -1;
+    int m_exit_code = -1;
 };
 
 /** Exit code and output of a finished program. */
