--- a/benchmark/harness/caller.cpp
+++ b/benchmark/harness/caller.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-std::string text_in(const boost::json::value& body, const char* name)
+std::string string_member(const boost::json::value& body, const char* name)
 {
     const auto* members = body.if_object();
     const auto* found = members ? members->if_contains(name) : nullptr;
@@ -18,15 +18,16 @@
 
 } // namespace
 
-call_outcome caller::call(const call_request& made)
+call_outcome caller::call(const call_request& request)
 {
-    auto fields = made.fields;
-    if (!made.id.empty())
-        fields["X-Request-Id"] = made.id;
+    auto fields = request.fields;
+    if (!request.id.empty())
+        fields["X-Request-Id"] = request.id;
     const auto begin = steady_clock::now();
-    const auto response = m_client.send(
-        {made.method, made.target, made.body, "", made.service, fields},
-        made.timeout);
+    const auto response =
+        m_client.send({request.method, request.target, request.body, "",
+                       request.service, fields},
+                      request.timeout);
     call_outcome outcome;
     outcome.took = steady_clock::now() - begin;
     if (!response)
@@ -34,15 +35,15 @@
     outcome.answered = true;
     outcome.status = response->status;
     outcome.body = response->body;
-    if (const auto word = response->fields.find("Tillerhall-Outcome");
-        word != response->fields.end())
-        outcome.outcome = word->second;
+    if (const auto header = response->fields.find("Tillerhall-Outcome");
+        header != response->fields.end())
+        outcome.outcome = header->second;
     boost::system::error_code failed;
     const auto body = boost::json::parse(response->body, failed);
     if (!failed)
     {
-        outcome.target = text_in(body, "target");
-        outcome.id = text_in(body, "id");
+        outcome.target = string_member(body, "target");
+        outcome.id = string_member(body, "id");
     }
     return outcome;
 }
--- a/benchmark/harness/caller.hpp
+++ b/benchmark/harness/caller.hpp
@@ -44,7 +44,7 @@
     {
     }
 
-    call_outcome call(const call_request& made);
+    call_outcome call(const call_request& request);
 
 private:
     api_client m_client;
