--- a/benchmark/call_ledger.cpp
+++ b/benchmark/call_ledger.cpp
@@ -6,15 +6,15 @@
 namespace tillerhall::bench
 {
 
-void call_ledger::note(const std::string& id,
-                       const harness::call_outcome& outcome)
+void call_ledger::record(const std::string& id,
+                         const harness::call_outcome& outcome)
 {
     auto kept = outcome;
     kept.body.clear();
     m_outcomes[id] = std::move(kept);
 }
 
-ledger_verdict call_ledger::settle(harness::cluster& system) const
+ledger_totals call_ledger::reconcile(harness::cluster& system) const
 {
     std::map<std::string, std::int64_t> runs;
     std::set<address> asked;
@@ -27,28 +27,28 @@
                 if (each.key() != "http_status")
                     runs[each.key()] += each.value().to_number<std::int64_t>();
     }
-    ledger_verdict verdict;
+    ledger_totals totals;
     for (const auto& [id, outcome] : m_outcomes)
     {
         const auto found = runs.find(id);
         const auto ran = found == runs.end() ? 0 : found->second;
-        ++verdict.calls;
-        verdict.doubled += ran > 1 ? 1 : 0;
+        ++totals.calls;
+        totals.doubled += ran > 1 ? 1 : 0;
         if (outcome.is_good())
         {
-            ++verdict.good;
-            verdict.wrong += outcome.id == id ? 0 : 1;
-            verdict.good_that_did_not_run += ran == 0 ? 1 : 0;
+            ++totals.good;
+            totals.wrong += outcome.id == id ? 0 : 1;
+            totals.good_that_did_not_run += ran == 0 ? 1 : 0;
         }
         else if (outcome.outcome == "not-run")
         {
-            ++verdict.refused;
-            verdict.not_run_that_ran += ran != 0 ? 1 : 0;
+            ++totals.refused;
+            totals.not_run_that_ran += ran != 0 ? 1 : 0;
         }
         else
-            ++verdict.unknown;
+            ++totals.unknown;
     }
-    return verdict;
+    return totals;
 }
 
 } // namespace tillerhall::bench
--- a/benchmark/call_ledger.hpp
+++ b/benchmark/call_ledger.hpp
@@ -12,7 +12,7 @@
 {
 
 /** Totals over all calls of an experiment. */
-struct ledger_verdict
+struct ledger_totals
 {
     std::int64_t calls = 0;
     std::int64_t good = 0;
@@ -29,10 +29,10 @@
 {
 public:
     /** Records the outcome of the call with @p id . */
-    void note(const std::string& id, const harness::call_outcome& outcome);
+    void record(const std::string& id, const harness::call_outcome& outcome);
 
     /** Queries the run counts of every target and compares. */
-    ledger_verdict settle(harness::cluster& system) const;
+    ledger_totals reconcile(harness::cluster& system) const;
 
 private:
     std::map<std::string, harness::call_outcome> m_outcomes;
--- a/benchmark/claims.cpp
+++ b/benchmark/claims.cpp
@@ -56,12 +56,12 @@
     call_ledger ledger;
     const auto keyed = run_load(on, plan, &ledger);
     const auto counts = system.get(system.platform(), "/admin/stats");
-    const auto verdict = ledger.settle(system);
+    const auto totals = ledger.reconcile(system);
     const double writes =
         counts ? counts->at("writes").to_number<double>() : -1;
     report("claims",
            {{"rate", plan.rate},
-            {"claims_s", static_cast<double>(verdict.good) / keyed->seconds},
+            {"claims_s", static_cast<double>(totals.good) / keyed->seconds},
             {"store_writes_s", writes / keyed->seconds},
             {"store_reads_s",
              (counts ? counts->at("reads").to_number<double>() : -1) /
@@ -71,9 +71,9 @@
             {"added_p99_ms", keyed->latency(0.99) - plain->latency(0.99)},
             {"calls", keyed->sent},
             {"good", keyed->good},
-            {"refused", verdict.refused},
-            {"doubled", verdict.doubled}});
-    return verdict.doubled == 0 ? 0 : 1;
+            {"refused", totals.refused},
+            {"doubled", totals.doubled}});
+    return totals.doubled == 0 ? 0 : 1;
 }
 
 } // namespace tillerhall::bench
--- a/benchmark/drain.cpp
+++ b/benchmark/drain.cpp
@@ -59,7 +59,7 @@
     call_ledger ledger;
     const auto load = run_load(on, plan, &ledger);
     system.wait_until([&] { return stopped; });
-    const auto verdict = ledger.settle(system);
+    const auto totals = ledger.reconcile(system);
     const auto counts =
         system.get(system.nodes()[leaving].target, "/admin/stats");
     const auto last_us =
@@ -68,8 +68,7 @@
         std::max(0.0, static_cast<double>(last_us - left_us) / 1000);
     // Calls through the stopped node are refused by the kernel and have not
     // run, so they are not counted as cut.
-    std::int64_t cut =
-        verdict.doubled + verdict.wrong + verdict.not_run_that_ran;
+    std::int64_t cut = totals.doubled + totals.wrong + totals.not_run_that_ran;
     cut += counts ? counts->at("cancelled").to_number<std::int64_t>() : 1;
     const bool held = cut == 0 && code == 0;
     report("drain", {{"last_new_work_ms", last_ms},
@@ -77,8 +76,8 @@
                      {"exit_code", code},
                      {"calls", load->sent},
                      {"good", load->good},
-                     {"refused", verdict.refused},
-                     {"unknown", verdict.unknown}});
+                     {"refused", totals.refused},
+                     {"unknown", totals.unknown}});
     return held ? 0 : 1;
 }
 
--- a/benchmark/faults.cpp
+++ b/benchmark/faults.cpp
@@ -70,13 +70,13 @@
         run_parallel(std::move(tasks));
         m_watch->check_end();
         caused = faults.caused();
-        verdict = m_ledger.settle(m_system);
+        totals = m_ledger.reconcile(m_system);
     }
 
     const invariant_watch& watch() const { return *m_watch; }
 
     std::int64_t caused = 0;
-    ledger_verdict verdict;
+    ledger_totals totals;
 
 private:
     static harness::cluster_options options()
@@ -159,7 +159,7 @@
                 "call-" + std::to_string(through) + "-" + std::to_string(i),
                 "POST", "/", "x"};
             call.timeout = std::chrono::seconds(3);
-            m_ledger.note(call.id, from.call(call));
+            m_ledger.record(call.id, from.call(call));
             sleep_for(m_worker.io(), call_every);
         }
     }
@@ -183,7 +183,7 @@
     std::int64_t faults = 0;
     std::int64_t checks = 0;
     std::int64_t violations = 0;
-    ledger_verdict calls;
+    ledger_totals calls;
     std::uint64_t accepted = 0;
     for (std::size_t i = 0; i < schedules; ++i)
     {
@@ -199,19 +199,19 @@
         for (const auto& each : run.watch().violations())
             say("  VIOLATION: " + each);
         faults += run.caused;
-        checks += run.watch().checks() + run.verdict.calls;
+        checks += run.watch().checks() + run.totals.calls;
         violations +=
             static_cast<std::int64_t>(run.watch().violations().size()) +
-            run.verdict.wrong + run.verdict.doubled +
-            run.verdict.not_run_that_ran + run.verdict.good_that_did_not_run;
+            run.totals.wrong + run.totals.doubled +
+            run.totals.not_run_that_ran + run.totals.good_that_did_not_run;
         accepted += run.watch().greatest_accepted();
-        calls.calls += run.verdict.calls;
-        calls.good += run.verdict.good;
-        calls.refused += run.verdict.refused;
-        calls.unknown += run.verdict.unknown;
-        calls.wrong += run.verdict.wrong;
-        calls.doubled += run.verdict.doubled;
-        calls.not_run_that_ran += run.verdict.not_run_that_ran;
+        calls.calls += run.totals.calls;
+        calls.good += run.totals.good;
+        calls.refused += run.totals.refused;
+        calls.unknown += run.totals.unknown;
+        calls.wrong += run.totals.wrong;
+        calls.doubled += run.totals.doubled;
+        calls.not_run_that_ran += run.totals.not_run_that_ran;
     }
     report("faults", {{"seed", seed},
                       {"schedules", schedules},
--- a/benchmark/load.cpp
+++ b/benchmark/load.cpp
@@ -75,7 +75,7 @@
                     result->latencies_ms.push_back(took.count());
                 }
                 if (ledger != nullptr)
-                    ledger->note(call.id, outcome);
+                    ledger->record(call.id, outcome);
                 ++ended;
             });
     }
--- a/benchmark/requests.cpp
+++ b/benchmark/requests.cpp
@@ -73,13 +73,13 @@
         m_entry_us = (cpu_s(target_count, target_count + 1) - entry_before) *
                      1e6 / calls;
         m_owner_us = (cpu_s(0, target_count) - owners_before) * 1e6 / calls;
-        const auto verdict = ledger.settle(m_system);
+        const auto totals = ledger.reconcile(m_system);
         m_system.set_target(0, {{"service_ms", 50}});
         const auto slow = load(m_rate, m_length, mesh(), nullptr);
         m_system.set_target(0, {{"service_ms", 2}});
         m_retries = retries();
         overload(table);
-        return describe(*straight, *through, *slow, verdict);
+        return describe(*straight, *through, *slow, totals);
     }
 
 private:
@@ -156,7 +156,7 @@
     json::object describe(const load_result& straight,
                           const load_result& through,
                           const load_result& slow,
-                          const ledger_verdict& verdict)
+                          const ledger_totals& totals)
     {
         const auto added = [&](double share)
         { return through.latency(share) - straight.latency(share); };
@@ -185,15 +185,15 @@
             {"slow_target_p99_ms", slow.latency(0.99)},
             {"goodput_share", static_cast<double>(through.good) /
                                   static_cast<double>(through.sent)},
-            {"refused", verdict.refused},
-            {"unknown", verdict.unknown},
+            {"refused", totals.refused},
+            {"unknown", totals.unknown},
             {"retries_per_call", m_retries / static_cast<double>(through.sent)},
             {"overload_goodput_share", m_overload_goodput},
             {"overload_retries_per_call", m_overload_retries},
             {"overload_p99_ms", m_overload_p99_ms},
-            {"doubled", verdict.doubled},
-            {"wrong", verdict.wrong},
-            {"not_run_that_ran", verdict.not_run_that_ran},
+            {"doubled", totals.doubled},
+            {"wrong", totals.wrong},
+            {"not_run_that_ran", totals.not_run_that_ran},
             {"most_running", most},
             {"limit_exceeded", over}};
     }
