--- a/benchmark/faults.cpp
+++ b/benchmark/faults.cpp
@@ -17,7 +17,7 @@
 
 constexpr int steps_per_schedule = 14;
 constexpr milliseconds step_length(700);
-constexpr milliseconds look_every(60);
+constexpr milliseconds check_interval(60);
 constexpr milliseconds call_every(15);
 constexpr std::size_t operators = 2;
 
@@ -42,8 +42,8 @@
         if (!first || !first->contains("digest") ||
             !m_system.wait_for_version(1))
             return error(error_code::not_ready, "no first version");
-        m_watch = std::make_unique<invariant_watch>(m_system);
-        m_watch->accepted(1, first->at("digest").as_string().c_str());
+        m_checker = std::make_unique<invariant_checker>(m_system);
+        m_checker->accepted(1, first->at("digest").as_string().c_str());
         return {};
     }
 
@@ -62,18 +62,18 @@
                 faults.heal_all();
                 m_going = false;
             });
-        tasks.emplace_back([this] { look_on(); });
+        tasks.emplace_back([this] { monitor(); });
         for (std::size_t i = 0; i < operators; ++i)
             tasks.emplace_back([this, i] { operate(i); });
         for (std::size_t i = 0; i < m_system.nodes().size(); i += 2)
             tasks.emplace_back([this, i] { call_on(i); });
         run_parallel(std::move(tasks));
-        m_watch->check_end();
+        m_checker->check_final_state();
         caused = faults.caused();
         totals = m_ledger.reconcile(m_system);
     }
 
-    const invariant_watch& watch() const { return *m_watch; }
+    const invariant_checker& checker() const { return *m_checker; }
 
     std::int64_t caused = 0;
     ledger_totals totals;
@@ -93,12 +93,12 @@
         return built;
     }
 
-    void look_on()
+    void monitor()
     {
         while (m_going)
         {
-            m_watch->look();
-            sleep_for(m_worker.io(), look_every);
+            m_checker->check_nodes();
+            sleep_for(m_worker.io(), check_interval);
         }
     }
 
@@ -142,8 +142,8 @@
         const auto result =
             answer ? json::parse(answer->body, failed) : json::value{};
         if (answer && !failed && answer->status == 200)
-            m_watch->accepted(result.at("version").to_number<std::uint64_t>(),
-                              result.at("digest").as_string().c_str());
+            m_checker->accepted(result.at("version").to_number<std::uint64_t>(),
+                                result.at("digest").as_string().c_str());
     }
 
     /** Sends non-idempotent calls through one node. */
@@ -169,7 +169,7 @@
     harness::cluster m_system;
     std::uint64_t m_seed;
     std::string m_table;
-    std::unique_ptr<invariant_watch> m_watch;
+    std::unique_ptr<invariant_checker> m_checker;
     call_ledger m_ledger;
     bool m_going = true;
 };
@@ -196,15 +196,15 @@
             return 1;
         }
         run.run();
-        for (const auto& each : run.watch().violations())
+        for (const auto& each : run.checker().violations())
             say("  VIOLATION: " + each);
         faults += run.caused;
-        checks += run.watch().checks() + run.totals.calls;
+        checks += run.checker().checks() + run.totals.calls;
         violations +=
-            static_cast<std::int64_t>(run.watch().violations().size()) +
+            static_cast<std::int64_t>(run.checker().violations().size()) +
             run.totals.wrong + run.totals.doubled +
             run.totals.not_run_that_ran + run.totals.good_that_did_not_run;
-        accepted += run.watch().greatest_accepted();
+        accepted += run.checker().highest_accepted();
         calls.calls += run.totals.calls;
         calls.good += run.totals.good;
         calls.refused += run.totals.refused;
--- a/benchmark/invariants.cpp
+++ b/benchmark/invariants.cpp
@@ -8,32 +8,33 @@
 
 namespace json = boost::json;
 
-invariant_watch::invariant_watch(harness::cluster& system)
+invariant_checker::invariant_checker(harness::cluster& system)
     : m_system(system)
     , m_last(system.nodes().size(), 0)
 {
 }
 
-void invariant_watch::check(bool holds, const std::string& what)
+void invariant_checker::check(bool holds, const std::string& what)
 {
     ++m_checks;
     if (!holds)
         m_violations.push_back(what);
 }
 
-std::uint64_t invariant_watch::greatest_accepted() const noexcept
+std::uint64_t invariant_checker::highest_accepted() const noexcept
 {
     return m_accepted.empty() ? 0 : m_accepted.rbegin()->first;
 }
 
-void invariant_watch::accepted(std::uint64_t version, const std::string& digest)
+void invariant_checker::accepted(std::uint64_t version,
+                                 const std::string& digest)
 {
     const auto known = m_accepted.try_emplace(version, digest).first;
     check(known->second == digest,
           "version " + std::to_string(version) + " was accepted twice");
 }
 
-void invariant_watch::look()
+void invariant_checker::check_nodes()
 {
     for (std::size_t i = 0; i < m_last.size(); ++i)
     {
@@ -71,9 +72,9 @@
     }
 }
 
-void invariant_watch::check_end()
+void invariant_checker::check_final_state()
 {
-    const auto head = static_cast<std::int64_t>(greatest_accepted());
+    const auto head = static_cast<std::int64_t>(highest_accepted());
     const bool reached = m_system.wait_until(
         [&]
         {
@@ -90,7 +91,7 @@
                       std::to_string(m_system.version(i));
     check(reached, "not every node reached version " + std::to_string(head) +
                        ":" + behind);
-    look();
+    check_nodes();
     const auto history =
         m_system.get(m_system.nodes()[0].operators, "/v1/history?limit=1000");
     check(history.has_value(), "the history cannot be read");
--- a/benchmark/invariants.hpp
+++ b/benchmark/invariants.hpp
@@ -16,27 +16,27 @@
  * node that goes back to an older version, a version with two contents, a
  * route without its service or target, a lost accepted version.
  */
-class invariant_watch
+class invariant_checker
 {
 public:
-    explicit invariant_watch(harness::cluster& system);
+    explicit invariant_checker(harness::cluster& system);
 
     /** Checks every node that answers. */
-    void look();
+    void check_nodes();
 
     /** Records a successful accept. */
     void accepted(std::uint64_t version, const std::string& digest);
 
     /** Checks, after all faults are healed, that every accepted version is in
      * the history and that all nodes have the newest one. */
-    void check_end();
+    void check_final_state();
 
     std::int64_t checks() const noexcept { return m_checks; }
     const std::vector<std::string>& violations() const noexcept
     {
         return m_violations;
     }
-    std::uint64_t greatest_accepted() const noexcept;
+    std::uint64_t highest_accepted() const noexcept;
 
 private:
     void check(bool holds, const std::string& what);
--- a/benchmark/storm.cpp
+++ b/benchmark/storm.cpp
@@ -15,10 +15,10 @@
 constexpr std::chrono::seconds storm_limit(60);
 
 /** Checks versions and routes of all nodes during the restart. */
-class storm_watch
+class storm_checker
 {
 public:
-    explicit storm_watch(harness::cluster& system)
+    explicit storm_checker(harness::cluster& system)
         : m_system(system)
         , m_last(system.nodes().size(), 0)
     {
@@ -26,7 +26,7 @@
 
     /** Checks every node once. @return true if all are ready and at @p head
      * or newer. */
-    bool look(std::int64_t head)
+    bool check_nodes(std::int64_t head)
     {
         bool all = true;
         for (std::size_t i = 0; i < m_last.size(); ++i)
@@ -94,8 +94,8 @@
         return 1;
     }
     const auto table = system.default_table();
-    storm_watch watch(system);
-    watch.look(1);
+    storm_checker checker(system);
+    checker.check_nodes(1);
     const auto count = system.nodes().size();
     const auto share = std::clamp(options["kill"].as<double>(), 0.0, 0.95);
     const auto killed = static_cast<std::size_t>(
@@ -116,14 +116,14 @@
             return 1;
         }
     const bool back =
-        system.wait_until([&] { return watch.look(2); }, storm_limit);
+        system.wait_until([&] { return checker.check_nodes(2); }, storm_limit);
     const std::chrono::duration<double, std::milli> took =
         steady_clock::now() - begin;
     const auto counts = system.get(system.platform(), "/admin/stats");
     // The counters of restarted nodes begin at 0.
     const double spent = bytes_of(system, 0) - survivors_before;
     const bool held =
-        back && watch.rollbacks == 0 && watch.orphan_routes == 0 && counts;
+        back && checker.rollbacks == 0 && checker.orphan_routes == 0 && counts;
     report("storm",
            {{"nodes", count},
             {"killed", killed},
@@ -134,8 +134,8 @@
              counts ? counts->at("bytes_out").to_number<double>() : -1.0},
             {"control_bytes_per_node",
              std::round(spent / static_cast<double>(count))},
-            {"rollbacks", watch.rollbacks},
-            {"orphan_routes", watch.orphan_routes}});
+            {"rollbacks", checker.rollbacks},
+            {"orphan_routes", checker.orphan_routes}});
     return held ? 0 : 1;
 }
 
