--- a/benchmark/fault_schedule.cpp
+++ b/benchmark/fault_schedule.cpp
@@ -32,21 +32,21 @@
 
 } // namespace
 
-std::span<const fault_schedule::entry> fault_schedule::entries()
+std::span<const fault_schedule::fault_kind> fault_schedule::fault_kinds()
 {
     static constexpr std::array table{
-        entry{"kill", &fault_schedule::kill_some},
-        entry{"pause", &fault_schedule::pause_one},
-        entry{"cut_domain", &fault_schedule::cut_domain},
-        entry{"cut_one_way", &fault_schedule::cut_one_way},
-        entry{"slow_links", &fault_schedule::slow_links},
-        entry{"source_down", &fault_schedule::source_down},
-        entry{"source_slow", &fault_schedule::source_slow},
-        entry{"lose_answers", &fault_schedule::source_loses_answers},
-        entry{"fail_writes", &fault_schedule::source_fails_writes},
-        entry{"corrupt_update", &fault_schedule::send_corrupt_update},
-        entry{"replay", &fault_schedule::replay_old_version},
-        entry{"drain_target", &fault_schedule::drain_target},
+        fault_kind{"kill", &fault_schedule::kill_some},
+        fault_kind{"pause", &fault_schedule::pause_one},
+        fault_kind{"cut_domain", &fault_schedule::cut_domain},
+        fault_kind{"cut_one_way", &fault_schedule::cut_one_way},
+        fault_kind{"slow_links", &fault_schedule::slow_links},
+        fault_kind{"source_down", &fault_schedule::source_down},
+        fault_kind{"source_slow", &fault_schedule::source_slow},
+        fault_kind{"lose_answers", &fault_schedule::source_loses_answers},
+        fault_kind{"fail_writes", &fault_schedule::source_fails_writes},
+        fault_kind{"corrupt_update", &fault_schedule::send_corrupt_update},
+        fault_kind{"replay", &fault_schedule::replay_old_version},
+        fault_kind{"drain_target", &fault_schedule::drain_target},
     };
     return table;
 }
@@ -55,13 +55,13 @@
 {
     if (m_random.below(100) < heal_percent)
         return heal_all();
-    const auto& chosen = entries()[m_random.below(entries().size())];
+    const auto& chosen = fault_kinds()[m_random.below(fault_kinds().size())];
     say("  fault: " + std::string(chosen.name));
-    (this->*chosen.cause)();
-    ++m_caused;
+    (this->*chosen.inject)();
+    ++m_injected;
 }
 
-std::size_t fault_schedule::any_node()
+std::size_t fault_schedule::random_node()
 {
     return m_random.below(m_system.nodes().size());
 }
@@ -71,7 +71,7 @@
     const auto count = 1 + m_random.below(m_system.nodes().size() / 2);
     for (std::uint64_t i = 0; i < count; ++i)
     {
-        const auto node = any_node();
+        const auto node = random_node();
         m_system.nodes()[node].runs.kill();
         m_killed.push_back(node);
     }
@@ -79,7 +79,7 @@
 
 void fault_schedule::pause_one()
 {
-    const auto node = any_node();
+    const auto node = random_node();
     m_system.nodes()[node].runs.send(SIGSTOP);
     m_paused.push_back(node);
 }
@@ -144,7 +144,7 @@
 
 void fault_schedule::send_corrupt_update()
 {
-    const auto node = any_node();
+    const auto node = random_node();
     const auto version = m_system.version(node);
     if (version < 0)
         return;
@@ -157,7 +157,7 @@
 
 void fault_schedule::replay_old_version()
 {
-    const auto table = m_system.get(m_system.nodes()[any_node()].operators,
+    const auto table = m_system.get(m_system.nodes()[random_node()].operators,
                                     "/v1/table?version=1");
     if (!table || !table->contains("csv"))
         return;
@@ -165,12 +165,12 @@
     update.version = 1;
     update.digest = table->at("digest").as_string().c_str();
     update.whole = table->at("csv").as_string().c_str();
-    push(any_node(), to_json(push_message{"127.0.0.1:1", update, {}}));
+    push(random_node(), to_json(push_message{"127.0.0.1:1", update, {}}));
 }
 
 void fault_schedule::drain_target()
 {
-    const auto node = any_node();
+    const auto node = random_node();
     m_system.set_target(node, {{"drain", 1}});
     m_drained.push_back(node);
 }
--- a/benchmark/fault_schedule.hpp
+++ b/benchmark/fault_schedule.hpp
@@ -31,18 +31,18 @@
     /** Removes all injected faults and restarts killed nodes. */
     void heal_all();
 
-    std::int64_t caused() const noexcept { return m_caused; }
+    std::int64_t injected() const noexcept { return m_injected; }
 
 private:
     using action = void (fault_schedule::*)();
 
-    struct entry
+    struct fault_kind
     {
         std::string_view name;
-        action cause;
+        action inject;
     };
 
-    static std::span<const entry> entries();
+    static std::span<const fault_kind> fault_kinds();
 
     void kill_some();
     void pause_one();
@@ -56,7 +56,7 @@
     void send_corrupt_update();
     void replay_old_version();
     void drain_target();
-    std::size_t any_node();
+    std::size_t random_node();
     void push(std::size_t node, const boost::json::object& params);
 
     harness::cluster& m_system;
@@ -64,7 +64,7 @@
     std::vector<std::size_t> m_killed;
     std::vector<std::size_t> m_paused;
     std::vector<std::size_t> m_drained;
-    std::int64_t m_caused = 0;
+    std::int64_t m_injected = 0;
 };
 
 } // namespace tillerhall::bench
--- a/benchmark/faults.cpp
+++ b/benchmark/faults.cpp
@@ -16,9 +16,9 @@
 namespace json = boost::json;
 
 constexpr int steps_per_schedule = 14;
-constexpr milliseconds step_length(700);
+constexpr milliseconds step_interval(700);
 constexpr milliseconds check_interval(60);
-constexpr milliseconds call_every(15);
+constexpr milliseconds call_interval(15);
 constexpr std::size_t operators = 2;
 
 /** One schedule on one system, with operators, callers and invariant checks. */
@@ -57,25 +57,25 @@
                 for (int i = 0; i < steps_per_schedule; ++i)
                 {
                     faults.step();
-                    sleep_for(m_worker.io(), step_length);
+                    sleep_for(m_worker.io(), step_interval);
                 }
                 faults.heal_all();
-                m_going = false;
+                m_active = false;
             });
         tasks.emplace_back([this] { monitor(); });
         for (std::size_t i = 0; i < operators; ++i)
-            tasks.emplace_back([this, i] { operate(i); });
+            tasks.emplace_back([this, i] { run_operator(i); });
         for (std::size_t i = 0; i < m_system.nodes().size(); i += 2)
-            tasks.emplace_back([this, i] { call_on(i); });
+            tasks.emplace_back([this, i] { run_caller(i); });
         run_parallel(std::move(tasks));
         m_checker->check_final_state();
-        caused = faults.caused();
+        injected = faults.injected();
         totals = m_ledger.reconcile(m_system);
     }
 
     const invariant_checker& checker() const { return *m_checker; }
 
-    std::int64_t caused = 0;
+    std::int64_t injected = 0;
     ledger_totals totals;
 
 private:
@@ -95,7 +95,7 @@
 
     void monitor()
     {
-        while (m_going)
+        while (m_active)
         {
             m_checker->check_nodes();
             sleep_for(m_worker.io(), check_interval);
@@ -103,9 +103,9 @@
     }
 
     /** Accepts random edits through random running nodes. */
-    void operate(std::size_t number)
+    void run_operator(std::size_t number)
     {
-        for (int i = 0; m_going; ++i)
+        for (int i = 0; m_active; ++i)
         {
             const auto id =
                 "op-" + std::to_string(number) + "-" + std::to_string(i);
@@ -147,12 +147,12 @@
     }
 
     /** Sends non-idempotent calls through one node. */
-    void call_on(std::size_t through)
+    void run_caller(std::size_t through)
     {
         const std::vector<std::string> services{"perceel", "oogstbeurs",
                                                 "schuur"};
         harness::caller from(m_worker.io(), m_system.nodes()[through].caller);
-        for (int i = 0; m_going; ++i)
+        for (int i = 0; m_active; ++i)
         {
             harness::call_request call{
                 services[m_random.below(services.size())],
@@ -160,7 +160,7 @@
                 "POST", "/", "x"};
             call.timeout = std::chrono::seconds(3);
             m_ledger.record(call.id, from.call(call));
-            sleep_for(m_worker.io(), call_every);
+            sleep_for(m_worker.io(), call_interval);
         }
     }
 
@@ -171,7 +171,7 @@
     std::string m_table;
     std::unique_ptr<invariant_checker> m_checker;
     call_ledger m_ledger;
-    bool m_going = true;
+    bool m_active = true;
 };
 
 } // namespace
@@ -198,7 +198,7 @@
         run.run();
         for (const auto& each : run.checker().violations())
             say("  VIOLATION: " + each);
-        faults += run.caused;
+        faults += run.injected;
         checks += run.checker().checks() + run.totals.calls;
         violations +=
             static_cast<std::int64_t>(run.checker().violations().size()) +
