--- a/benchmark/demo.cpp
+++ b/benchmark/demo.cpp
@@ -76,12 +76,12 @@
         return output.out;
     }
 
-    void expect(bool held, const std::string& what)
+    void expect(bool passed, const std::string& what)
     {
-        if (held)
+        if (passed)
             return;
         say("FAILED: " + what);
-        m_held = false;
+        m_passed = false;
     }
 
     std::string draft() const { return m_system.folder() + "/draft.csv"; }
@@ -232,7 +232,7 @@
                                                    begin.control_bytes)},
                         {"calls_ok", m_ok},
                         {"calls_wrong", m_wrong}});
-        return m_held ? 0 : 1;
+        return m_passed ? 0 : 1;
     }
 
     worker& m_worker;
@@ -243,7 +243,7 @@
     int m_ok = 0;
     int m_wrong = 0;
     double m_convergence_ms = 0;
-    bool m_held = true;
+    bool m_passed = true;
 };
 
 } // namespace
--- a/benchmark/drain.cpp
+++ b/benchmark/drain.cpp
@@ -70,7 +70,7 @@
     // run, so they are not counted as cut.
     std::int64_t cut = totals.doubled + totals.wrong + totals.not_run_that_ran;
     cut += counts ? counts->at("cancelled").to_number<std::int64_t>() : 1;
-    const bool held = cut == 0 && code == 0;
+    const bool passed = cut == 0 && code == 0;
     report("drain", {{"last_new_work_ms", last_ms},
                      {"cut", cut},
                      {"exit_code", code},
@@ -78,7 +78,7 @@
                      {"good", load->good},
                      {"refused", totals.refused},
                      {"unknown", totals.unknown}});
-    return held ? 0 : 1;
+    return passed ? 0 : 1;
 }
 
 } // namespace tillerhall::bench
--- a/benchmark/requests.cpp
+++ b/benchmark/requests.cpp
@@ -248,7 +248,7 @@
         return 2;
     }
     json::array measured;
-    bool held = true;
+    bool passed = true;
     for (const auto* each : policies())
     {
         const std::string name(each->name());
@@ -262,14 +262,14 @@
         }
         say(json::serialize(*outcome));
         for (const auto* count : {"doubled", "wrong", "not_run_that_ran"})
-            held = held && outcome->at(count).to_number<int>() == 0;
+            passed = passed && outcome->at(count).to_number<int>() == 0;
         measured.push_back(std::move(*outcome));
     }
     report("requests", {{"rate", options["rate"].as<double>()},
                         {"seconds", options["seconds"].as<double>()},
                         {"faults", options.count("faults") != 0},
                         {"policies", std::move(measured)}});
-    return held ? 0 : 1;
+    return passed ? 0 : 1;
 }
 
 } // namespace tillerhall::bench
--- a/benchmark/storm.cpp
+++ b/benchmark/storm.cpp
@@ -122,7 +122,7 @@
     const auto counts = system.get(system.platform(), "/admin/stats");
     // The counters of restarted nodes begin at 0.
     const double spent = bytes_of(system, 0) - survivors_before;
-    const bool held =
+    const bool passed =
         back && checker.rollbacks == 0 && checker.orphan_routes == 0 && counts;
     report("storm",
            {{"nodes", count},
@@ -136,7 +136,7 @@
              std::round(spent / static_cast<double>(count))},
             {"rollbacks", checker.rollbacks},
             {"orphan_routes", checker.orphan_routes}});
-    return held ? 0 : 1;
+    return passed ? 0 : 1;
 }
 
 } // namespace tillerhall::bench
