--- a/benchmark/convergence.cpp
+++ b/benchmark/convergence.cpp
@@ -208,7 +208,7 @@
     const auto wanted = options["strategy"].as<std::string>();
     if (wanted != "all" && !find_strategy(wanted))
     {
-        say(find_strategy(wanted).reason().message());
+        print_progress(find_strategy(wanted).reason().message());
         return 2;
     }
     json::array measured;
@@ -218,10 +218,11 @@
         auto outcome = measurement(on, options, variants[i]).run();
         if (!outcome)
         {
-            say(variants[i].name + ": " + outcome.reason().message());
+            print_progress(variants[i].name + ": " +
+                           outcome.reason().message());
             return 1;
         }
-        say(json::serialize(*outcome));
+        print_progress(json::serialize(*outcome));
         if (variants[i].is_default && wanted == "all")
             variants.push_back(
                 {"poll_head_matching", "poll_head",
--- a/benchmark/demo.cpp
+++ b/benchmark/demo.cpp
@@ -31,15 +31,15 @@
 
     int run()
     {
-        say("starting platform, targets and nodes");
+        print_progress("starting platform, targets and nodes");
         if (const auto started = m_system.start(); !started)
         {
-            say(started.reason().message());
+            print_progress(started.reason().message());
             return 1;
         }
         const auto begin = sample_fleet(m_system);
         first_table();
-        say("calling every service through every node");
+        print_progress("calling every service through every node");
         call_everywhere();
         edit_and_accept();
         check_calls_obey();
@@ -67,11 +67,11 @@
             shown += " " + (each.starts_with(m_system.folder())
                                 ? each.substr(m_system.folder().size() + 1)
                                 : each);
-        say(shown);
+        print_progress(shown);
         std::istringstream lines(output.out + output.err);
         for (std::string line; std::getline(lines, line);)
             if (arguments[0] != "show")
-                say("  " + line);
+                print_progress("  " + line);
         expect(output.code == 0, "tiller " + arguments[0] + " exits 0");
         return output.out;
     }
@@ -80,7 +80,7 @@
     {
         if (passed)
             return;
-        say("FAILED: " + what);
+        print_progress("FAILED: " + what);
         m_passed = false;
     }
 
@@ -116,9 +116,9 @@
         else if (outcome.is_good())
             ++m_wrong;
         else
-            say("  call " + id + " to " + service + ": " +
-                std::to_string(outcome.status) + " " + outcome.outcome + " " +
-                outcome.body);
+            print_progress("  call " + id + " to " + service + ": " +
+                           std::to_string(outcome.status) + " " +
+                           outcome.outcome + " " + outcome.body);
         return outcome;
     }
 
@@ -158,9 +158,9 @@
         for (int i = 0; i < calls; ++i)
             if (closed.contains(call(from, m_service).target))
                 ++served_there;
-        say(std::to_string(calls) + " calls to " + m_service + ": " +
-            std::to_string(served_there) + " went to " + m_place +
-            ", whose weight is now 0");
+        print_progress(std::to_string(calls) + " calls to " + m_service + ": " +
+                       std::to_string(served_there) + " went to " + m_place +
+                       ", whose weight is now 0");
         expect(served_there == 0, "calls obey the edited weight");
     }
 
@@ -168,8 +168,8 @@
     void slow_target_shows()
     {
         const auto& slow = m_system.nodes()[1];
-        say("making the target of " + slow.place.service + " at " +
-            slow.place.domain + " slow");
+        print_progress("making the target of " + slow.place.service + " at " +
+                       slow.place.domain + " slow");
         for (std::size_t i = 0; i < m_system.nodes().size(); ++i)
             if (m_system.nodes()[i].place.service == slow.place.service &&
                 m_system.nodes()[i].place.domain == slow.place.domain)
@@ -193,11 +193,11 @@
     {
         const auto index = m_system.nodes().size() - 1;
         auto& victim = m_system.nodes()[index];
-        say("killing node " + victim.rpc.text());
+        print_progress("killing node " + victim.rpc.text());
         victim.runs.kill();
         call_everywhere();
         if (const auto restarted = m_system.restart(index); !restarted)
-            say(restarted.reason().message());
+            print_progress(restarted.reason().message());
         const bool back = m_system.wait_until(
             [&] { return m_system.version(index) == m_system.version(0); });
         expect(back, "the restarted node has the newest table");
@@ -209,8 +209,8 @@
                        status.at("phase").as_string() == "ready";
             });
         expect(ready, "the restarted node is ready");
-        say("node " + victim.rpc.text() + " is back at version " +
-            std::to_string(m_system.version(index)));
+        print_progress("node " + victim.rpc.text() + " is back at version " +
+                       std::to_string(m_system.version(index)));
         expect(m_system.wait_until(
                    [&] {
                        return m_system.knows_all(0) &&
--- a/benchmark/drain.cpp
+++ b/benchmark/drain.cpp
@@ -26,7 +26,7 @@
     harness::cluster system(on, built);
     if (const auto started = system.start_with_table(); !started)
     {
-        say(started.reason().message());
+        print_progress(started.reason().message());
         return 1;
     }
     load_plan plan;
--- a/benchmark/experiment.hpp
+++ b/benchmark/experiment.hpp
@@ -24,7 +24,7 @@
 void report(const std::string& name, const boost::json::object& result);
 
 /** Prints a progress line to standard output. */
-void say(const std::string& line);
+void print_progress(const std::string& line);
 
 /** @return the @p share quantile (0 to 1) of @p values ; 0 if empty. */
 double quantile(std::vector<double> values, double share);
--- a/benchmark/fault_schedule.cpp
+++ b/benchmark/fault_schedule.cpp
@@ -56,7 +56,7 @@
     if (m_random.below(100) < heal_percent)
         return heal_all();
     const auto& chosen = fault_kinds()[m_random.below(fault_kinds().size())];
-    say("  fault: " + std::string(chosen.name));
+    print_progress("  fault: " + std::string(chosen.name));
     (this->*chosen.inject)();
     ++m_injected;
 }
@@ -191,7 +191,7 @@
     for (const auto node : m_killed)
         if (!m_system.nodes()[node].runs.is_running())
             if (const auto restarted = m_system.restart(node); !restarted)
-                say(restarted.reason().message());
+                print_progress(restarted.reason().message());
     m_killed.clear();
 }
 
--- a/benchmark/faults.cpp
+++ b/benchmark/faults.cpp
@@ -187,17 +187,17 @@
     std::uint64_t accepted = 0;
     for (std::size_t i = 0; i < schedules; ++i)
     {
-        say("schedule " + std::to_string(i + 1) + ", seed " +
-            std::to_string(seed + i));
+        print_progress("schedule " + std::to_string(i + 1) + ", seed " +
+                       std::to_string(seed + i));
         fault_run run(on, seed + i);
         if (const auto started = run.start(); !started)
         {
-            say(started.reason().message());
+            print_progress(started.reason().message());
             return 1;
         }
         run.run();
         for (const auto& each : run.checker().violations())
-            say("  VIOLATION: " + each);
+            print_progress("  VIOLATION: " + each);
         faults += run.injected;
         checks += run.checker().checks() + run.totals.calls;
         violations +=
--- a/benchmark/requests.cpp
+++ b/benchmark/requests.cpp
@@ -244,7 +244,7 @@
     const auto wanted = options["policy"].as<std::string>();
     if (wanted != "all" && !find_policy(wanted))
     {
-        say(find_policy(wanted).reason().message());
+        print_progress(find_policy(wanted).reason().message());
         return 2;
     }
     json::array measured;
@@ -257,10 +257,10 @@
         auto outcome = policy_run(on, options, name).run();
         if (!outcome)
         {
-            say(outcome.reason().message());
+            print_progress(outcome.reason().message());
             return 1;
         }
-        say(json::serialize(*outcome));
+        print_progress(json::serialize(*outcome));
         for (const auto* count : {"doubled", "wrong", "not_run_that_ran"})
             passed = passed && outcome->at(count).to_number<int>() == 0;
         measured.push_back(std::move(*outcome));
--- a/benchmark/slopes.cpp
+++ b/benchmark/slopes.cpp
@@ -165,7 +165,7 @@
         add("rss_mb_per_node", end.rss_mb);
         add("source_reads_s",
             (end.source_reads - begin.source_reads) / passed.count());
-        say(std::to_string(count) + " nodes measured");
+        print_progress(std::to_string(count) + " nodes measured");
     }
     return {};
 }
@@ -181,7 +181,7 @@
         measure_fleets(on, options["idle"].as<double>(), measured);
     if (!fleets)
     {
-        say(fleets.reason().message());
+        print_progress(fleets.reason().message());
         return 1;
     }
     const auto path = options["output"].as<std::string>();
--- a/benchmark/storm.cpp
+++ b/benchmark/storm.cpp
@@ -90,7 +90,7 @@
     harness::cluster system(on, built);
     if (const auto started = system.start_with_table(); !started)
     {
-        say(started.reason().message());
+        print_progress(started.reason().message());
         return 1;
     }
     const auto table = system.default_table();
@@ -100,7 +100,8 @@
     const auto share = std::clamp(options["kill"].as<double>(), 0.0, 0.95);
     const auto killed = static_cast<std::size_t>(
         std::floor(share * static_cast<double>(count)));
-    say("killing " + std::to_string(killed) + " of " + std::to_string(count));
+    print_progress("killing " + std::to_string(killed) + " of " +
+                   std::to_string(count));
     for (std::size_t i = 0; i < killed; ++i)
         system.nodes()[i].runs.kill();
     // Accepted while they are down, so that all of them restart outdated.
@@ -112,7 +113,7 @@
     for (std::size_t i = 0; i < killed; ++i)
         if (const auto restarted = system.restart(i); !restarted)
         {
-            say(restarted.reason().message());
+            print_progress(restarted.reason().message());
             return 1;
         }
     const bool back =
--- a/benchmark/tiller_bench.cpp
+++ b/benchmark/tiller_bench.cpp
@@ -103,7 +103,7 @@
 
 } // namespace
 
-void say(const std::string& line)
+void print_progress(const std::string& line)
 {
     std::cout << line << std::endl;
 }
