--- a/benchmark/demo.cpp
+++ b/benchmark/demo.cpp
@@ -42,8 +42,8 @@
         print_progress("calling every service through every node");
         call_everywhere();
         edit_and_accept();
-        check_calls_obey();
-        slow_target_shows();
+        check_edited_weight();
+        check_burn_report();
         kill_and_restart();
         const auto end = sample_fleet(m_system);
         return finish(begin, end);
@@ -146,17 +146,17 @@
     }
 
     /** Checks that calls avoid the place whose weight was set to 0. */
-    void check_calls_obey()
+    void check_edited_weight()
     {
-        std::set<std::string> closed;
+        std::set<std::string> excluded_targets;
         for (const auto& each : m_system.nodes())
             if (each.place.service == m_service && each.place.domain == m_place)
-                closed.insert(each.target.text());
+                excluded_targets.insert(each.target.text());
         int served_there = 0;
         caller from(m_worker.io(), m_system.nodes().front().caller);
         constexpr int calls = 60;
         for (int i = 0; i < calls; ++i)
-            if (closed.contains(call(from, m_service).target))
+            if (excluded_targets.contains(call(from, m_service).target))
                 ++served_there;
         print_progress(std::to_string(calls) + " calls to " + m_service + ": " +
                        std::to_string(served_there) + " went to " + m_place +
@@ -165,7 +165,7 @@
     }
 
     /** Checks that the burn report names the target that was made slow. */
-    void slow_target_shows()
+    void check_burn_report()
     {
         const auto& slow = m_system.nodes()[1];
         print_progress("making the target of " + slow.place.service + " at " +
@@ -198,9 +198,9 @@
         call_everywhere();
         if (const auto restarted = m_system.restart(index); !restarted)
             print_progress(restarted.reason().message());
-        const bool back = m_system.wait_until(
+        const bool recovered = m_system.wait_until(
             [&] { return m_system.version(index) == m_system.version(0); });
-        expect(back, "the restarted node has the newest table");
+        expect(recovered, "the restarted node has the newest table");
         const bool ready = m_system.wait_until(
             [&]
             {
