--- a/benchmark/convergence.cpp
+++ b/benchmark/convergence.cpp
@@ -38,7 +38,7 @@
         : m_variant(std::move(measured))
         , m_changes(options["changes"].as<std::size_t>())
         , m_idle_s(options["idle"].as<double>())
-        , m_system(on, cluster_for(options, m_variant))
+        , m_system(on, cluster_options_for(options, m_variant))
         , m_worker(on)
     {
     }
@@ -49,7 +49,7 @@
             return started.reason();
         const auto count = m_system.nodes().size();
         m_table = m_system.default_table();
-        settle();
+        wait_for_stable_members();
         const auto idle_begin = sample_fleet(m_system);
         sleep_for(m_worker.io(),
                   milliseconds(static_cast<std::int64_t>(m_idle_s * 1000)));
@@ -72,9 +72,9 @@
             {"is_baseline", m_variant.is_baseline},
             {"poll_ms", std::stoi(m_variant.poll)},
             {"nodes", count},
-            {"convergence_p50_ms", quantile(m_each_ms, 0.5)},
-            {"convergence_p99_ms", quantile(m_each_ms, 0.99)},
-            {"convergence_max_ms", quantile(m_each_ms, 1)},
+            {"convergence_p50_ms", quantile(m_convergence_ms, 0.5)},
+            {"convergence_p99_ms", quantile(m_convergence_ms, 0.99)},
+            {"convergence_max_ms", quantile(m_convergence_ms, 1)},
             {"idle_bytes_per_node_s", std::round(idle_rate)},
             {"bytes_per_node_change", std::round(per_change)},
             {"total_bytes_per_node_s",
@@ -92,7 +92,8 @@
 
 private:
     static harness::cluster_options
-    cluster_for(const cxxopts::ParseResult& options, const variant& measured)
+    cluster_options_for(const cxxopts::ParseResult& options,
+                        const variant& measured)
     {
         auto built = harness::profile(options["profile"].as<std::string>(),
                                       options["nodes"].as<std::size_t>());
@@ -111,7 +112,7 @@
     }
 
     /** Waits until all member lists agree and join rumors have faded. */
-    void settle()
+    void wait_for_stable_members()
     {
         m_system.wait_until(
             [this]
@@ -165,7 +166,7 @@
                 std::max(0.0, static_cast<double>(applied - answered) / 1000);
             last = std::max(last, took);
         }
-        m_each_ms.push_back(last);
+        m_convergence_ms.push_back(last);
         return {};
     }
 
@@ -175,7 +176,8 @@
     harness::cluster m_system;
     worker& m_worker;
     std::string m_table;
-    std::vector<double> m_each_ms; ///< of each change, until the last node
+    std::vector<double>
+        m_convergence_ms; ///< of each change, until the last node
 };
 
 std::vector<variant> variants_for(const std::string& wanted)
