--- a/benchmark/bodies.cpp
+++ b/benchmark/bodies.cpp
@@ -73,31 +73,32 @@
     if (!system.accept(0, write_csv(config_table(rows)), 1, "patience") ||
         !system.wait_for_version(2))
         return 1;
-    std::size_t whole = 0;
-    double most_rss = 0;
-    bool going = true;
+    std::size_t complete = 0;
+    double peak_rss_mb = 0;
+    bool active = true;
     std::vector<worker::task> tasks;
     const auto expected = "\"bytes\":" + std::to_string(size);
-    std::size_t ended = 0;
+    std::size_t finished = 0;
     for (std::size_t i = 0; i < count; ++i)
         tasks.emplace_back(
             [&]
             {
                 const auto answer =
                     upload(on, system.nodes().back().caller, size);
-                whole += answer.find(" 200 ") != std::string::npos &&
-                                 answer.find(expected) != std::string::npos
-                             ? 1
-                             : 0;
-                going = ++ended < count;
+                complete += answer.find(" 200 ") != std::string::npos &&
+                                    answer.find(expected) != std::string::npos
+                                ? 1
+                                : 0;
+                active = ++finished < count;
             });
     tasks.emplace_back(
         [&]
         {
-            while (going)
+            while (active)
             {
                 for (auto& node : system.nodes())
-                    most_rss = std::max(most_rss, node.runs.usage().rss_mb);
+                    peak_rss_mb =
+                        std::max(peak_rss_mb, node.runs.usage().rss_mb);
                 sleep_for(on.io(), milliseconds(100));
             }
         });
@@ -106,10 +107,10 @@
     const std::chrono::duration<double> took = steady_clock::now() - begin;
     report("bodies", {{"bodies", count},
                       {"bytes_each", size},
-                      {"whole", whole},
-                      {"most_rss_mb", most_rss},
+                      {"whole", complete},
+                      {"most_rss_mb", peak_rss_mb},
                       {"seconds", took.count()}});
-    return whole == count ? 0 : 1;
+    return complete == count ? 0 : 1;
 }
 
 } // namespace tillerhall::bench
