--- a/benchmark/load.cpp
+++ b/benchmark/load.cpp
@@ -49,7 +49,7 @@
     const auto begin = steady_clock::now();
     const std::chrono::duration<double> length = plan.length;
     const auto total = static_cast<std::size_t>(plan.rate * length.count());
-    std::size_t ended = 0;
+    std::size_t finished = 0;
     for (std::size_t i = 0; i < total; ++i)
     {
         const auto due = begin + std::chrono::duration_cast<duration>(
@@ -76,10 +76,10 @@
                 }
                 if (ledger != nullptr)
                     ledger->record(call.id, outcome);
-                ++ended;
+                ++finished;
             });
     }
-    while (ended < total)
+    while (finished < total)
         sleep_for(on.io(), milliseconds(5));
     const std::chrono::duration<double> spent = steady_clock::now() - begin;
     result->seconds = spent.count();
