--- a/benchmark/requests.cpp
+++ b/benchmark/requests.cpp
@@ -62,10 +62,10 @@
         // Warm-up of both paths and their connection pools.
         load(m_rate / 2, std::chrono::seconds(1), direct(), nullptr);
         load(m_rate / 2, std::chrono::seconds(1), mesh(), nullptr);
-        const auto straight = load(m_rate, m_length, direct(), nullptr);
+        const auto direct_result = load(m_rate, m_length, direct(), nullptr);
         call_ledger ledger;
         if (m_faults)
-            m_worker.spawn([this] { disturb(); });
+            m_worker.spawn([this] { inject_faults(); });
         const double entry_before = cpu_s(target_count, target_count + 1);
         const double owners_before = cpu_s(0, target_count);
         const auto through = load(m_rate, m_length, mesh(), &ledger);
@@ -79,7 +79,7 @@
         m_system.set_target(0, {{"service_ms", 2}});
         m_retries = retries();
         overload(table);
-        return describe(*straight, *through, *slow, totals);
+        return describe(*direct_result, *through, *slow, totals);
     }
 
 private:
@@ -141,7 +141,7 @@
     }
 
     /** Injects resets, an owner crash, a drain and refusals during the load. */
-    void disturb()
+    void inject_faults()
     {
         sleep_for(m_worker.io(), m_length / 5);
         m_system.set_target(1, {{"reset_before_answer", 5}});
@@ -153,13 +153,13 @@
         m_system.set_target(4, {{"shed", 1}});
     }
 
-    json::object describe(const load_result& straight,
+    json::object describe(const load_result& direct_result,
                           const load_result& through,
                           const load_result& slow,
                           const ledger_totals& totals)
     {
         const auto added = [&](double share)
-        { return through.latency(share) - straight.latency(share); };
+        { return through.latency(share) - direct_result.latency(share); };
         std::int64_t over = 0;
         std::int64_t most = 0;
         for (std::size_t i = 0; i < target_count; ++i)
@@ -175,8 +175,8 @@
         return {
             {"name", m_policy},
             {"is_default", m_policy == policies().front()->name()},
-            {"direct_p50_ms", straight.latency(0.5)},
-            {"direct_p99_ms", straight.latency(0.99)},
+            {"direct_p50_ms", direct_result.latency(0.5)},
+            {"direct_p99_ms", direct_result.latency(0.99)},
             {"added_p50_ms", added(0.5)},
             {"added_p99_ms", added(0.99)},
             {"added_p999_ms", added(0.999)},
