--- a/benchmark/slopes.cpp
+++ b/benchmark/slopes.cpp
@@ -30,7 +30,7 @@
 
 using points = std::vector<point>;
 
-member fake_member(std::size_t number)
+member synthetic_member(std::size_t number)
 {
     member made;
     made.rpc = {"10." + std::to_string(number / 250 % 250) + "." +
@@ -46,7 +46,7 @@
     return made;
 }
 
-config_table fake_table(std::size_t rows)
+config_table synthetic_table(std::size_t rows)
 {
     std::vector<row> made(rows);
     for (std::size_t i = 0; i < rows; ++i)
@@ -87,9 +87,9 @@
             into.push_back({quantity, "members", x, value});
         };
         const double before = heap_bytes();
-        member_list list(fake_member(0));
+        member_list list(synthetic_member(0));
         for (std::size_t i = 1; i < count; ++i)
-            list.merge(fake_member(i));
+            list.merge(synthetic_member(i));
         add("member_list_bytes", heap_bytes() - before);
         join_answer answer;
         answer.members = list.all();
@@ -98,7 +98,8 @@
         random_source random(1);
         add("split_range_us",
             time_us([&] { split_range(key_range{}, list, 8, random); }));
-        const table_view_ptr table(new table_view(1, "d", 0, fake_table(1200)));
+        const table_view_ptr table(
+            new table_view(1, "d", 0, synthetic_table(1200)));
         add("route_view_us", time_us([&] { route_view(table, list); }));
         const double views_before = heap_bytes();
         const route_view kept(table, list);
@@ -116,7 +117,7 @@
         const auto add = [&](const char* quantity, double value) {
             into.push_back({quantity, "rows", x, value});
         };
-        const auto table = fake_table(count);
+        const auto table = synthetic_table(count);
         auto changed = table;
         auto first = table.rows().front();
         first.weight = 7;
