--- a/benchmark/storm.cpp
+++ b/benchmark/storm.cpp
@@ -39,7 +39,7 @@
             }
             const auto version = status.at("version").to_number<std::int64_t>();
             const bool ready = status.at("phase").as_string() == "ready";
-            // A ready node takes calls, so its version must not go back,
+            // A ready node takes calls, so its version must not go recovered,
             // not even over a restart.
             if (ready && version < m_last[i])
                 ++rollbacks;
@@ -61,7 +61,7 @@
 };
 
 /** @return all control bytes of the nodes from @p first on. */
-double bytes_of(harness::cluster& system, std::size_t first)
+double control_bytes_from(harness::cluster& system, std::size_t first)
 {
     double bytes = 0;
     for (std::size_t i = first; i < system.nodes().size(); ++i)
@@ -107,7 +107,7 @@
     // Accepted while they are down, so that all of them restart outdated.
     if (!system.accept(count - 1, changed_table(table, 7), 1, "meanwhile"))
         return 1;
-    const auto survivors_before = bytes_of(system, killed);
+    const auto survivors_before = control_bytes_from(system, killed);
     system.get(system.platform(), "/admin/reset");
     const auto begin = steady_clock::now();
     for (std::size_t i = 0; i < killed; ++i)
@@ -116,19 +116,19 @@
             print_progress(restarted.reason().message());
             return 1;
         }
-    const bool back =
+    const bool recovered =
         system.wait_until([&] { return checker.check_nodes(2); }, storm_limit);
     const std::chrono::duration<double, std::milli> took =
         steady_clock::now() - begin;
     const auto counts = system.get(system.platform(), "/admin/stats");
     // The counters of restarted nodes begin at 0.
-    const double spent = bytes_of(system, 0) - survivors_before;
-    const bool passed =
-        back && checker.rollbacks == 0 && checker.orphan_routes == 0 && counts;
+    const double spent = control_bytes_from(system, 0) - survivors_before;
+    const bool passed = recovered && checker.rollbacks == 0 &&
+                        checker.orphan_routes == 0 && counts;
     report("storm",
            {{"nodes", count},
             {"killed", killed},
-            {"all_at_head_ms", back ? std::round(took.count()) : -1.0},
+            {"all_at_head_ms", recovered ? std::round(took.count()) : -1.0},
             {"peak_source_reads_s",
              counts ? counts->at("peak_reads_s").to_number<double>() : -1.0},
             {"source_bytes",
