--- a/fuzz/http.cpp
+++ b/fuzz/http.cpp
@@ -24,9 +24,9 @@
         return 0;
     const auto now = steady_clock::now();
     const auto context = read_context(head, now);
-    const auto onward = onward_head(head, context, context.deadline, now);
-    if (onward.count(field_name::outcome) != 0 ||
-        onward.count(http::field::transfer_encoding) != 0)
+    const auto forwarded = onward_head(head, context, context.deadline, now);
+    if (forwarded.count(field_name::outcome) != 0 ||
+        forwarded.count(http::field::transfer_encoding) != 0)
         std::abort();
     (void)claim_key_of(head, "127.0.0.1");
     return 0;
--- a/fuzz/member.cpp
+++ b/fuzz/member.cpp
@@ -7,7 +7,7 @@
 {
 
 template <class Read>
-void try_to(Read read)
+void decode(Read read)
 {
     try
     {
@@ -31,13 +31,13 @@
     if (failed || !value.is_object())
         return 0;
     const auto& members = value.as_object();
-    try_to([&] { heartbeat_from_json(members); });
-    try_to([&] { join_answer_from_json(members); });
-    try_to([&] { sync_answer_from_json(members); });
-    try_to([&] { announce_from_json(members); });
-    try_to([&] { push_from_json(members); });
-    try_to([&] { pull_answer_from_json(members); });
-    try_to([&] { watch_report_from_json(members); });
-    try_to([&] { buckets_from_json(members); });
+    decode([&] { heartbeat_from_json(members); });
+    decode([&] { join_answer_from_json(members); });
+    decode([&] { sync_answer_from_json(members); });
+    decode([&] { announce_from_json(members); });
+    decode([&] { push_from_json(members); });
+    decode([&] { pull_answer_from_json(members); });
+    decode([&] { watch_report_from_json(members); });
+    decode([&] { buckets_from_json(members); });
     return 0;
 }
--- a/tools/capacity_fit.cpp
+++ b/tools/capacity_fit.cpp
@@ -79,11 +79,11 @@
     const auto logarithmic = fit_line(samples, true);
     if (size_of == "nodes" && logarithmic.worst_error < line.worst_error)
         line = logarithmic;
-    const double wanted = design_sizes.at(size_of);
+    const double design_size = design_sizes.at(size_of);
     std::printf("| %s | %s | %.6g | %.6g%s | %.0f%% | %.6g |\n",
                 quantity.c_str(), size_of.c_str(), line.offset, line.slope,
                 line.logarithmic ? " log2" : "", 100 * line.worst_error,
-                line.at(wanted));
+                line.at(design_size));
 }
 
 } // namespace
