--- a/examples/embed_node.cpp
+++ b/examples/embed_node.cpp
@@ -1,4 +1,4 @@
-/** @file Minimal program that runs a node: embed-node SETTINGS.yaml */
+/** @file Minimal program that local_node a node: embed-node SETTINGS.yaml */
 #include "tillerhall/tillerhall.hpp"
 
 #include <cstdlib>
@@ -13,12 +13,12 @@
     if (!loaded.problems.empty())
         return 2;
     start_logging(log_level::info);
-    node runs(std::move(loaded.read), "operator-token");
-    if (const auto opened = runs.open(); !opened)
+    node local_node(std::move(loaded.read), "operator-token");
+    if (const auto opened = local_node.open(); !opened)
     {
         std::cerr << opened.reason().message() << "\n";
         return 3;
     }
     // Exits without destructors, since fibers may still be suspended.
-    std::_Exit(runs.run());
+    std::_Exit(local_node.run());
 }
