--- a/benchmark/convergence.cpp
+++ b/benchmark/convergence.cpp
@@ -176,8 +176,8 @@
     harness::cluster m_system;
     worker& m_worker;
     std::string m_table;
-    std::vector<double>
-        m_convergence_ms; ///< of each change, until the last node
+    /** Per change, until the last node has applied it. */
+    std::vector<double> m_convergence_ms;
 };
 
 std::vector<variant> variants_for(const std::string& wanted)
--- a/benchmark/storm.cpp
+++ b/benchmark/storm.cpp
@@ -39,7 +39,7 @@
             }
             const auto version = status.at("version").to_number<std::int64_t>();
             const bool ready = status.at("phase").as_string() == "ready";
-            // A ready node takes calls, so its version must not go recovered,
+            // A ready node takes calls, so its version must not go back,
             // not even over a restart.
             if (ready && version < m_last[i])
                 ++rollbacks;
--- a/examples/embed_node.cpp
+++ b/examples/embed_node.cpp
@@ -1,4 +1,4 @@
-/** @file Minimal program that local_node a node: embed-node SETTINGS.yaml */
+/** @file Minimal program that runs a node: embed-node SETTINGS.yaml */
 #include "tillerhall/tillerhall.hpp"
 
 #include <cstdlib>
--- a/standins/platform_standin/reporting_target.cpp
+++ b/standins/platform_standin/reporting_target.cpp
@@ -65,11 +65,11 @@
     m_listener->start([this](tcp_stream& stream) { serve(stream); });
 }
 
-bool reporting_target::consume(unsigned& count)
+bool reporting_target::consume(unsigned& remaining)
 {
-    if (count == 0)
+    if (remaining == 0)
         return false;
-    --count;
+    --remaining;
     return true;
 }
 
@@ -179,7 +179,7 @@
                       std::string(call.head()["X-Deadline-Ms"]),
                       steady_clock::now(), std::string(call.head()["X-Tenant"]),
                       std::string(call.head()["Authorization"])});
-    const auto start = m_times_ended;
+    const auto crashes_before = m_times_ended;
     ++m_running;
     const bool injected_failure = must_fail(call.head().target());
     const bool crashes = call.head().target() == m_tricks.ends_under;
@@ -187,7 +187,7 @@
     --m_running;
     if (crashes && !m_has_ended)
         end();
-    if (start != m_times_ended)
+    if (crashes_before != m_times_ended)
         return false;
     if (consume(m_tricks.reset_answers))
     {
--- a/standins/platform_standin/reporting_target.hpp
+++ b/standins/platform_standin/reporting_target.hpp
@@ -88,7 +88,7 @@
     void serve_calls(tcp_stream& stream);
     bool serve_one(inbound_call& call);
     bool send(inbound_call& call, unsigned status, bool not_run);
-    static bool consume(unsigned& count);
+    static bool consume(unsigned& remaining);
     /** @return true if the next run of @p path must fail. */
     bool must_fail(std::string_view path);
 
@@ -101,8 +101,7 @@
     milliseconds m_cold_for{0};
     std::uint64_t m_start_time_ms = 0;
     unsigned m_running = 0;
-    double m_failure_carry =
-        0; ///< fraction of a failure carried to the next run
+    double m_failure_carry = 0; ///< fraction of a failure, for the next run
     target_tricks m_tricks;
     std::vector<target_run> m_runs;
     std::uint64_t m_sequence = 0;
--- a/standins/platform_standin/store_standin.hpp
+++ b/standins/platform_standin/store_standin.hpp
@@ -97,8 +97,7 @@
     std::map<row_key, row> m_rows;
     std::vector<change> m_changes;
     std::uint64_t m_revision = 0;
-    std::uint64_t m_oldest_feed_revision =
-        0; ///< changes up to this revision are dropped
+    std::uint64_t m_oldest_feed_revision = 0; ///< older feeds get 410
     std::uint64_t m_calls = 0;
     std::map<std::string, std::uint64_t> m_calls_by_table;
     time_point m_write_backlog_end{}; ///< end of the last delayed write
