--- a/benchmark/demo.cpp
+++ b/benchmark/demo.cpp
@@ -161,7 +161,7 @@
         print_progress(std::to_string(calls) + " calls to " + m_service + ": " +
                        std::to_string(served_there) + " went to " + m_place +
                        ", whose weight is now 0");
-        expect(served_there == 0, "calls obey the edited weight");
+        expect(served_there == 0, "calls respect the edited weight");
     }
 
     /** Checks that the burn report names the target that was made slow. */
--- a/benchmark/tiller_bench.cpp
+++ b/benchmark/tiller_bench.cpp
@@ -15,22 +15,25 @@
 {
 
 constexpr std::array experiment_table{
-    experiment{"demo",
-               "the whole path, from an edited cell to calls obeying it",
-               run_demo},
-    experiment{"convergence", "convergence time and control bytes by strategy",
+    experiment{
+        "demo",
+        "end-to-end run, from an edited cell to the calls that follow it",
+        run_demo},
+    experiment{"convergence", "convergence time and control bytes per strategy",
                run_convergence},
-    experiment{"storm", "many nodes killed and back at once", run_storm},
-    experiment{"requests", "what the mesh adds to a call, by policy",
+    experiment{"storm", "many nodes killed and restarted at once", run_storm},
+    experiment{"requests",
+               "latency and processor time that the mesh adds, per policy",
                run_requests},
-    experiment{"bodies", "large bodies at once, and the nodes' memory",
-               run_bodies},
-    experiment{"drain", "a node leaves under load", run_drain},
-    experiment{"claims", "keyed calls: claims a second and their writes",
+    experiment{"bodies", "memory of nodes while large bodies pass", run_bodies},
+    experiment{"drain", "a node drains under load", run_drain},
+    experiment{"claims",
+               "throughput and store writes of calls with idempotency keys",
                run_claims},
-    experiment{"slopes", "how state, messages, time and memory grow",
+    experiment{"slopes", "growth of state, messages, time and memory",
                run_slopes},
-    experiment{"faults", "random faults with the promises watched", run_faults},
+    experiment{"faults", "random faults with checks of the guarantees",
+               run_faults},
 };
 
 cxxopts::Options make_options(const std::string& name)
@@ -46,27 +49,28 @@
         cxxopts::value<std::string>()->default_value("all"))(
         "services", "services in the table, 0 for the profile's own",
         cxxopts::value<std::size_t>()->default_value("0"))(
-        "idle", "seconds to measure idle traffic",
+        "idle", "seconds of idle traffic to measure",
         cxxopts::value<double>()->default_value("5"))(
         "kill", "share of nodes to kill",
         cxxopts::value<double>()->default_value("0.5"))(
-        "seed", "of the random schedule",
+        "seed", "seed of the random schedules",
         cxxopts::value<std::uint64_t>()->default_value("1"))(
         "schedules", "random schedules to run",
         cxxopts::value<std::size_t>()->default_value("3"))(
-        "rate", "calls a second",
+        "rate", "calls per second",
         cxxopts::value<double>()->default_value("1000"))(
-        "seconds", "length of a measurement",
+        "seconds", "length of a measurement in seconds",
         cxxopts::value<double>()->default_value("10"))(
         "policy", "a policy's name, or all",
         cxxopts::value<std::string>()->default_value("all"))(
-        "bodies", "bodies at once",
+        "bodies", "number of concurrent bodies",
         cxxopts::value<std::size_t>()->default_value("20"))(
-        "megabytes", "size of each body",
+        "megabytes", "size of each body in megabytes",
         cxxopts::value<std::size_t>()->default_value("1000"))(
         "output", "file for the points of slopes",
         cxxopts::value<std::string>()->default_value("slopes.csv"))(
-        "faults", "cause faults meanwhile")("h,help", "show this");
+        "faults", "inject faults during the measurement")("h,help",
+                                                          "show this");
     return options;
 }
 
--- a/standins/target/main.cpp
+++ b/standins/target/main.cpp
@@ -38,7 +38,8 @@
     if (failed || !behaviour.is_object() ||
         !target.set_behaviour(behaviour.as_object()))
     {
-        std::cerr << "--behave is not an object of known numbers\n";
+        std::cerr
+            << "--behave must be a JSON object with known names and numbers\n";
         return 2;
     }
     (*opened)->start([&](tcp_stream& stream) { target.serve(stream); });
