--- a/standins/platform_standin/reporting_target.hpp
+++ b/standins/platform_standin/reporting_target.hpp
@@ -29,7 +29,7 @@
     std::string ends_under;        ///< path whose run crashes the target
     double failing = 0;            ///< share of runs that answer 500
     std::string failing_prefix;    ///< only paths with this prefix fail
-    unsigned failing_load = 0;     ///< fails only with so many concurrent runs
+    unsigned failing_load = 0;     ///< at least so many concurrent runs
     time_point failing_from{};     ///< no run fails before this time
 };
 
