--- a/benchmark/requests.cpp
+++ b/benchmark/requests.cpp
@@ -132,12 +132,13 @@
         constexpr double capacity = static_cast<double>(
             target_count * overload_slots * 1000 / overload_service_ms);
         const double retries_before = retries();
-        const auto load_met = load(2 * capacity, m_length, mesh(), nullptr);
-        m_overload_goodput =
-            static_cast<double>(load_met->good) / load_met->seconds / capacity;
-        m_overload_retries =
-            (retries() - retries_before) / static_cast<double>(load_met->sent);
-        m_overload_p99_ms = load_met->latency(0.99);
+        const auto overload_result =
+            load(2 * capacity, m_length, mesh(), nullptr);
+        m_overload_goodput = static_cast<double>(overload_result->good) /
+                             overload_result->seconds / capacity;
+        m_overload_retries = (retries() - retries_before) /
+                             static_cast<double>(overload_result->sent);
+        m_overload_p99_ms = overload_result->latency(0.99);
     }
 
     /** Injects resets, an owner crash, a drain and refusals during the load. */
--- a/standins/target/target_standin.hpp
+++ b/standins/target/target_standin.hpp
@@ -45,7 +45,7 @@
     std::int64_t cancelled = 0;
     std::int64_t deadline_passed = 0;
     std::int64_t over_slots = 0;
-    std::int64_t last_run_us = 0; ///< wall clock
+    std::int64_t last_run_us = 0; ///< start of the last run, Unix microseconds
 };
 
 /** A target on one worker. */
