--- a/benchmark/convergence.cpp
+++ b/benchmark/convergence.cpp
@@ -1,4 +1,4 @@
-/** @file Convergence time and control bytes, strategy by strategy. */
+/** @file Convergence time and control bytes of each strategy. */
 #include "experiment.hpp"
 
 #include "tillerhall/distribution/strategy.hpp"
@@ -15,10 +15,10 @@
 
 namespace json = boost::json;
 
-// The baselines poll this often, and the default's readers, too.
+// Poll interval of the baselines and of the default strategy's readers.
 constexpr const char* poll_ms = "1000";
 
-/** One strategy with its interval, as it is to be measured. */
+/** A strategy with its poll interval. */
 struct variant
 {
     std::string name;
@@ -28,7 +28,7 @@
     bool is_baseline = false;
 };
 
-/** Measures one variant on a system of its own. */
+/** Measures one variant on its own system. */
 class measurement
 {
 public:
@@ -38,7 +38,7 @@
         : m_variant(std::move(measured))
         , m_changes(options["changes"].as<std::size_t>())
         , m_idle_s(options["idle"].as<double>())
-        , m_system(on, cluster_for(options, m_variant))
+        , m_system(on, cluster_options_for(options, m_variant))
         , m_worker(on)
     {
     }
@@ -49,7 +49,7 @@
             return started.reason();
         const auto count = m_system.nodes().size();
         m_table = m_system.default_table();
-        settle();
+        wait_for_stable_members();
         const auto idle_begin = sample_fleet(m_system);
         sleep_for(m_worker.io(),
                   milliseconds(static_cast<std::int64_t>(m_idle_s * 1000)));
@@ -72,9 +72,9 @@
             {"is_baseline", m_variant.is_baseline},
             {"poll_ms", std::stoi(m_variant.poll)},
             {"nodes", count},
-            {"convergence_p50_ms", quantile(m_each_ms, 0.5)},
-            {"convergence_p99_ms", quantile(m_each_ms, 0.99)},
-            {"convergence_max_ms", quantile(m_each_ms, 1)},
+            {"convergence_p50_ms", quantile(m_convergence_ms, 0.5)},
+            {"convergence_p99_ms", quantile(m_convergence_ms, 0.99)},
+            {"convergence_max_ms", quantile(m_convergence_ms, 1)},
             {"idle_bytes_per_node_s", std::round(idle_rate)},
             {"bytes_per_node_change", std::round(per_change)},
             {"total_bytes_per_node_s",
@@ -92,7 +92,8 @@
 
 private:
     static harness::cluster_options
-    cluster_for(const cxxopts::ParseResult& options, const variant& measured)
+    cluster_options_for(const cxxopts::ParseResult& options,
+                        const variant& measured)
     {
         auto built = harness::profile(options["profile"].as<std::string>(),
                                       options["nodes"].as<std::size_t>());
@@ -110,8 +111,8 @@
         return built;
     }
 
-    /** Waits until all lists of members agree and the news of joins is old. */
-    void settle()
+    /** Waits until all member lists agree and join rumors have faded. */
+    void wait_for_stable_members()
     {
         m_system.wait_until(
             [this]
@@ -131,7 +132,7 @@
         return std::chrono::duration<double>(span).count();
     }
 
-    /** Accepts one changed cell and waits until every node acts on it. */
+    /** Accepts one changed cell and waits until every node applies it. */
     result<void> one_change(std::size_t index)
     {
         auto table = read_csv(m_table).parsed.table;
@@ -141,7 +142,7 @@
         m_table = write_csv(table);
         const auto through = index % m_system.nodes().size();
         const auto version = static_cast<std::int64_t>(index) + 2;
-        // The accepting node may not have the version before it yet.
+        // The accepting node may not have the previous version yet.
         const auto answer = m_system.accept(
             through, m_table, static_cast<std::uint64_t>(version) - 1,
             "change-" + std::to_string(index));
@@ -165,7 +166,7 @@
                 std::max(0.0, static_cast<double>(applied - answered) / 1000);
             last = std::max(last, took);
         }
-        m_each_ms.push_back(last);
+        m_convergence_ms.push_back(last);
         return {};
     }
 
@@ -175,7 +176,8 @@
     harness::cluster m_system;
     worker& m_worker;
     std::string m_table;
-    std::vector<double> m_each_ms; ///< until the last node, for each change
+    /** Per change, until the last node has applied it. */
+    std::vector<double> m_convergence_ms;
 };
 
 std::vector<variant> variants_for(const std::string& wanted)
@@ -192,8 +194,9 @@
     return chosen;
 }
 
-/** @return an interval at which polling would match @p convergence_ms; the
- * last of many nodes sees a change after nearly a whole interval. */
+/** @return poll interval in milliseconds at which polling converges in
+ * @p convergence_ms : the last of many nodes sees a change after nearly one
+ * interval. */
 std::string matching_poll(double convergence_ms)
 {
     constexpr double least_ms = 20;
@@ -207,7 +210,7 @@
     const auto wanted = options["strategy"].as<std::string>();
     if (wanted != "all" && !find_strategy(wanted))
     {
-        say(find_strategy(wanted).reason().message());
+        print_progress(find_strategy(wanted).reason().message());
         return 2;
     }
     json::array measured;
@@ -217,10 +220,11 @@
         auto outcome = measurement(on, options, variants[i]).run();
         if (!outcome)
         {
-            say(variants[i].name + ": " + outcome.reason().message());
+            print_progress(variants[i].name + ": " +
+                           outcome.reason().message());
             return 1;
         }
-        say(json::serialize(*outcome));
+        print_progress(json::serialize(*outcome));
         if (variants[i].is_default && wanted == "all")
             variants.push_back(
                 {"poll_head_matching", "poll_head",
--- a/benchmark/demo.cpp
+++ b/benchmark/demo.cpp
@@ -1,4 +1,4 @@
-/** @file The whole path shown with real processes. */
+/** @file End-to-end demonstration with real processes. */
 #include "experiment.hpp"
 #include "harness/caller.hpp"
 
@@ -17,7 +17,7 @@
 using harness::call_outcome;
 using harness::caller;
 
-/** The demonstration's steps over one running system. */
+/** The steps of the demonstration on one system. */
 class demo
 {
 public:
@@ -31,19 +31,19 @@
 
     int run()
     {
-        say("starting platform, targets and nodes");
+        print_progress("starting platform, targets and nodes");
         if (const auto started = m_system.start(); !started)
         {
-            say(started.reason().message());
+            print_progress(started.reason().message());
             return 1;
         }
         const auto begin = sample_fleet(m_system);
         first_table();
-        say("calling every service through every node");
+        print_progress("calling every service through every node");
         call_everywhere();
         edit_and_accept();
-        check_calls_obey();
-        slow_target_shows();
+        check_edited_weight();
+        check_burn_report();
         kill_and_restart();
         const auto end = sample_fleet(m_system);
         return finish(begin, end);
@@ -67,21 +67,21 @@
             shown += " " + (each.starts_with(m_system.folder())
                                 ? each.substr(m_system.folder().size() + 1)
                                 : each);
-        say(shown);
+        print_progress(shown);
         std::istringstream lines(output.out + output.err);
         for (std::string line; std::getline(lines, line);)
             if (arguments[0] != "show")
-                say("  " + line);
+                print_progress("  " + line);
         expect(output.code == 0, "tiller " + arguments[0] + " exits 0");
         return output.out;
     }
 
-    void expect(bool held, const std::string& what)
+    void expect(bool passed, const std::string& what)
     {
-        if (held)
+        if (passed)
             return;
-        say("NOT HELD: " + what);
-        m_held = false;
+        print_progress("FAILED: " + what);
+        m_passed = false;
     }
 
     std::string draft() const { return m_system.folder() + "/draft.csv"; }
@@ -116,9 +116,9 @@
         else if (outcome.is_good())
             ++m_wrong;
         else
-            say("  call " + id + " to " + service + ": " +
-                std::to_string(outcome.status) + " " + outcome.outcome + " " +
-                outcome.body);
+            print_progress("  call " + id + " to " + service + ": " +
+                           std::to_string(outcome.status) + " " +
+                           outcome.outcome + " " + outcome.body);
         return outcome;
     }
 
@@ -145,31 +145,31 @@
         }
     }
 
-    /** Calls of the edited service must now avoid the edited place. */
-    void check_calls_obey()
+    /** Checks that calls avoid the place whose weight was set to 0. */
+    void check_edited_weight()
     {
-        std::set<std::string> closed;
+        std::set<std::string> excluded_targets;
         for (const auto& each : m_system.nodes())
             if (each.place.service == m_service && each.place.domain == m_place)
-                closed.insert(each.target.text());
+                excluded_targets.insert(each.target.text());
         int served_there = 0;
         caller from(m_worker.io(), m_system.nodes().front().caller);
         constexpr int calls = 60;
         for (int i = 0; i < calls; ++i)
-            if (closed.contains(call(from, m_service).target))
+            if (excluded_targets.contains(call(from, m_service).target))
                 ++served_there;
-        say(std::to_string(calls) + " calls to " + m_service + ": " +
-            std::to_string(served_there) + " went to " + m_place +
-            ", whose weight is now 0");
-        expect(served_there == 0, "calls obey the edited weight");
+        print_progress(std::to_string(calls) + " calls to " + m_service + ": " +
+                       std::to_string(served_there) + " went to " + m_place +
+                       ", whose weight is now 0");
+        expect(served_there == 0, "calls respect the edited weight");
     }
 
-    /** One target made slow must be named by the burn report. */
-    void slow_target_shows()
+    /** Checks that the burn report names the target that was made slow. */
+    void check_burn_report()
     {
         const auto& slow = m_system.nodes()[1];
-        say("making the target of " + slow.place.service + " at " +
-            slow.place.domain + " slow");
+        print_progress("making the target of " + slow.place.service + " at " +
+                       slow.place.domain + " slow");
         for (std::size_t i = 0; i < m_system.nodes().size(); ++i)
             if (m_system.nodes()[i].place.service == slow.place.service &&
                 m_system.nodes()[i].place.domain == slow.place.domain)
@@ -181,7 +181,7 @@
         const auto shown = tiller({"report", "burn"});
         std::istringstream lines(shown);
         std::string first;
-        std::getline(lines, first); // the header; the worst row comes next
+        std::getline(lines, first); // the header; the worst row is next
         std::getline(lines, first);
         expect(first.find(slow.place.service) != std::string::npos &&
                    first.find(slow.place.domain) != std::string::npos &&
@@ -193,14 +193,14 @@
     {
         const auto index = m_system.nodes().size() - 1;
         auto& victim = m_system.nodes()[index];
-        say("killing node " + victim.rpc.text());
+        print_progress("killing node " + victim.rpc.text());
         victim.runs.kill();
         call_everywhere();
         if (const auto restarted = m_system.restart(index); !restarted)
-            say(restarted.reason().message());
-        const bool back = m_system.wait_until(
+            print_progress(restarted.reason().message());
+        const bool recovered = m_system.wait_until(
             [&] { return m_system.version(index) == m_system.version(0); });
-        expect(back, "the restarted node has the newest table");
+        expect(recovered, "the restarted node has the newest table");
         const bool ready = m_system.wait_until(
             [&]
             {
@@ -209,8 +209,8 @@
                        status.at("phase").as_string() == "ready";
             });
         expect(ready, "the restarted node is ready");
-        say("node " + victim.rpc.text() + " is back at version " +
-            std::to_string(m_system.version(index)));
+        print_progress("node " + victim.rpc.text() + " is back at version " +
+                       std::to_string(m_system.version(index)));
         expect(m_system.wait_until(
                    [&] {
                        return m_system.knows_all(0) &&
@@ -232,7 +232,7 @@
                                                    begin.control_bytes)},
                         {"calls_ok", m_ok},
                         {"calls_wrong", m_wrong}});
-        return m_held ? 0 : 1;
+        return m_passed ? 0 : 1;
     }
 
     worker& m_worker;
@@ -243,7 +243,7 @@
     int m_ok = 0;
     int m_wrong = 0;
     double m_convergence_ms = 0;
-    bool m_held = true;
+    bool m_passed = true;
 };
 
 } // namespace
--- a/benchmark/harness/cluster.cpp
+++ b/benchmark/harness/cluster.cpp
@@ -17,7 +17,7 @@
 
 namespace json = boost::json;
 
-constexpr milliseconds check_every(10);
+constexpr milliseconds poll_interval(10);
 constexpr std::size_t seed_count = 3;
 
 std::vector<placement> repeat(const std::vector<placement>& pattern,
@@ -29,14 +29,15 @@
     return placed;
 }
 
-/** Six targets of the first service, four of the second, three of the third,
- * over three failure domains: the users' sizes of today. */
-std::vector<placement> thirteen(const std::vector<std::string>& services,
-                                const std::vector<std::string>& domains)
+/** @return placements of six targets of the first service, four of the second
+ * and three of the third, spread over @p domains . */
+std::vector<placement>
+deployment_layout(const std::vector<std::string>& services,
+                  const std::vector<std::string>& domains)
 {
     const std::vector<std::size_t> counts{6, 4, 3};
     std::vector<placement> placed;
-    // Services in turn, so that a cut pattern still has all of them.
+    // Services alternate, so that a truncated layout still has all of them.
     for (std::size_t i = 0; i < counts.front(); ++i)
         for (std::size_t service = 0; service < services.size(); ++service)
             if (i < counts[service])
@@ -62,9 +63,10 @@
 cluster_options akkerbond(std::size_t nodes)
 {
     cluster_options options;
-    options.placements = repeat(thirteen({"perceel", "oogstbeurs", "schuur"},
-                                         {"polder-a", "polder-b", "polder-c"}),
-                                nodes);
+    options.placements =
+        repeat(deployment_layout({"perceel", "oogstbeurs", "schuur"},
+                                 {"polder-a", "polder-b", "polder-c"}),
+               nodes);
     options.region = "nl-west";
     options.settings = {{"mesh.heartbeat_ms", "500"},
                         {"distribution.poll_ms", "1000"},
@@ -77,8 +79,8 @@
 {
     cluster_options options;
     options.placements =
-        repeat(thirteen({"preview-desk", "job-ledger", "model-intake"},
-                        {"hall-a", "hall-b", "hall-c"}),
+        repeat(deployment_layout({"preview-desk", "job-ledger", "model-intake"},
+                                 {"hall-a", "hall-b", "hall-c"}),
                nodes);
     options.region = "kingston";
     options.settings = {{"mesh.heartbeat_ms", "1000"},
@@ -118,7 +120,7 @@
         m_domains.push_back(domain);
         found = std::prev(m_domains.end());
     }
-    // Each failure domain has a network of its own, so that rules can cut it.
+    // A network per failure domain, so that proxy rules can partition it.
     const auto number = std::distance(m_domains.begin(), found) + 1;
     return "127.0." + std::to_string(number) + ".1";
 }
@@ -146,7 +148,7 @@
         std::chrono::seconds(120));
     if (!ready)
         return error(error_code::not_ready, "not every node became ready",
-                     "look into the logs in " + m_folder);
+                     "see the logs in " + m_folder);
     return {};
 }
 
@@ -277,11 +279,11 @@
         all["node.advertise_peer"] = node.advertise_peer.text();
     }
     std::string seeds;
-    // The first short run, which only fixes the ports, must meet nobody.
-    const bool meets =
+    // The first start, which only allocates the ports, must not join the mesh.
+    const bool joins_mesh =
         !m_options.with_faultproxy || node.advertise_rpc.port != 0;
     for (std::size_t i = 0; i < std::min(seed_count + 1, m_nodes.size()); ++i)
-        if (meets && i != index && m_nodes[i].advertise_rpc.port != 0)
+        if (joins_mesh && i != index && m_nodes[i].advertise_rpc.port != 0)
             seeds +=
                 (seeds.empty() ? "" : ", ") + m_nodes[i].advertise_rpc.text();
     all["mesh.seeds"] = "[" + seeds + "]";
@@ -299,12 +301,12 @@
         file << name << ":\n" << lines;
 }
 
-result<void> cluster::start_node(std::size_t index, bool again)
+result<void> cluster::start_node(std::size_t index, bool is_restart)
 {
     auto& node = m_nodes[index];
-    // The proxy needs the ports before the node starts: they are fixed by a
-    // first short run of it.
-    const bool needs_ports = m_options.with_faultproxy && !again;
+    // The proxy needs the node's ports before the node advertises its
+    // addresses, so a first short run allocates them.
+    const bool needs_ports = m_options.with_faultproxy && !is_restart;
     write_settings(index);
     const auto base = m_folder + "/node-" + std::to_string(index);
     const auto launch = [&]() -> result<void>
@@ -345,8 +347,8 @@
 result<void> cluster::restart(std::size_t index)
 {
     m_nodes[index].runs.kill();
-    const bool again = m_nodes[index].rpc.port != 0;
-    return start_node(index, again);
+    const bool is_restart = m_nodes[index].rpc.port != 0;
+    return start_node(index, is_restart);
 }
 
 void cluster::register_hosts()
@@ -380,7 +382,7 @@
     {
         if (holds())
             return true;
-        sleep_for(m_worker.io(), check_every);
+        sleep_for(m_worker.io(), poll_interval);
     }
     return holds();
 }
--- a/benchmark/requests.cpp
+++ b/benchmark/requests.cpp
@@ -1,4 +1,4 @@
-/** @file What the mesh adds to a call, policy by policy. */
+/** @file Latency and processor time that the mesh adds, by policy. */
 #include "experiment.hpp"
 #include "load.hpp"
 
@@ -19,11 +19,11 @@
 
 constexpr const char* service = "oogstbeurs";
 constexpr std::size_t target_count = 6;
-// Small targets, so that twice their capacity is little for the machine.
+// Small targets, so that the overload does not saturate the machine itself.
 constexpr std::int64_t overload_slots = 4;
 constexpr std::int64_t overload_service_ms = 20;
 
-/** Six targets in one place, one of them slow on request, and an entry. */
+/** @return six targets in one place and an entry node. */
 harness::cluster_options six_targets(const std::string& policy)
 {
     harness::cluster_options options;
@@ -59,13 +59,13 @@
         if (auto started = m_system.start_with_table(); !started)
             return started.reason();
         const auto table = m_system.default_table();
-        // Fills the pools and warms both ways.
+        // Warm-up of both paths and their connection pools.
         load(m_rate / 2, std::chrono::seconds(1), direct(), nullptr);
         load(m_rate / 2, std::chrono::seconds(1), mesh(), nullptr);
-        const auto straight = load(m_rate, m_length, direct(), nullptr);
+        const auto direct_result = load(m_rate, m_length, direct(), nullptr);
         call_ledger ledger;
         if (m_faults)
-            m_worker.spawn([this] { disturb(); });
+            m_worker.spawn([this] { inject_faults(); });
         const double entry_before = cpu_s(target_count, target_count + 1);
         const double owners_before = cpu_s(0, target_count);
         const auto through = load(m_rate, m_length, mesh(), &ledger);
@@ -73,13 +73,13 @@
         m_entry_us = (cpu_s(target_count, target_count + 1) - entry_before) *
                      1e6 / calls;
         m_owner_us = (cpu_s(0, target_count) - owners_before) * 1e6 / calls;
-        const auto verdict = ledger.settle(m_system);
+        const auto totals = ledger.reconcile(m_system);
         m_system.set_target(0, {{"service_ms", 50}});
         const auto slow = load(m_rate, m_length, mesh(), nullptr);
         m_system.set_target(0, {{"service_ms", 2}});
         m_retries = retries();
         overload(table);
-        return describe(*straight, *through, *slow, verdict);
+        return describe(*direct_result, *through, *slow, totals);
     }
 
 private:
@@ -114,7 +114,7 @@
         return run_load(m_worker, plan, ledger);
     }
 
-    /** Offers twice what the targets can do. */
+    /** Offers twice the capacity of the targets. */
     void overload(const std::string& csv)
     {
         std::vector<row> rows;
@@ -132,16 +132,17 @@
         constexpr double capacity = static_cast<double>(
             target_count * overload_slots * 1000 / overload_service_ms);
         const double retries_before = retries();
-        const auto load_met = load(2 * capacity, m_length, mesh(), nullptr);
-        m_overload_goodput =
-            static_cast<double>(load_met->good) / load_met->seconds / capacity;
-        m_overload_retries =
-            (retries() - retries_before) / static_cast<double>(load_met->sent);
-        m_overload_p99_ms = load_met->latency(0.99);
+        const auto overload_result =
+            load(2 * capacity, m_length, mesh(), nullptr);
+        m_overload_goodput = static_cast<double>(overload_result->good) /
+                             overload_result->seconds / capacity;
+        m_overload_retries = (retries() - retries_before) /
+                             static_cast<double>(overload_result->sent);
+        m_overload_p99_ms = overload_result->latency(0.99);
     }
 
-    /** Resets, a killed owner and a drained target, during the load. */
-    void disturb()
+    /** Injects resets, an owner crash, a drain and refusals during the load. */
+    void inject_faults()
     {
         sleep_for(m_worker.io(), m_length / 5);
         m_system.set_target(1, {{"reset_before_answer", 5}});
@@ -153,13 +154,13 @@
         m_system.set_target(4, {{"shed", 1}});
     }
 
-    json::object describe(const load_result& straight,
+    json::object describe(const load_result& direct_result,
                           const load_result& through,
                           const load_result& slow,
-                          const ledger_verdict& verdict)
+                          const ledger_totals& totals)
     {
         const auto added = [&](double share)
-        { return through.latency(share) - straight.latency(share); };
+        { return through.latency(share) - direct_result.latency(share); };
         std::int64_t over = 0;
         std::int64_t most = 0;
         for (std::size_t i = 0; i < target_count; ++i)
@@ -175,8 +176,8 @@
         return {
             {"name", m_policy},
             {"is_default", m_policy == policies().front()->name()},
-            {"direct_p50_ms", straight.latency(0.5)},
-            {"direct_p99_ms", straight.latency(0.99)},
+            {"direct_p50_ms", direct_result.latency(0.5)},
+            {"direct_p99_ms", direct_result.latency(0.99)},
             {"added_p50_ms", added(0.5)},
             {"added_p99_ms", added(0.99)},
             {"added_p999_ms", added(0.999)},
@@ -185,15 +186,15 @@
             {"slow_target_p99_ms", slow.latency(0.99)},
             {"goodput_share", static_cast<double>(through.good) /
                                   static_cast<double>(through.sent)},
-            {"refused", verdict.refused},
-            {"unknown", verdict.unknown},
+            {"refused", totals.refused},
+            {"unknown", totals.unknown},
             {"retries_per_call", m_retries / static_cast<double>(through.sent)},
             {"overload_goodput_share", m_overload_goodput},
             {"overload_retries_per_call", m_overload_retries},
             {"overload_p99_ms", m_overload_p99_ms},
-            {"doubled", verdict.doubled},
-            {"wrong", verdict.wrong},
-            {"not_run_that_ran", verdict.not_run_that_ran},
+            {"doubled", totals.doubled},
+            {"wrong", totals.wrong},
+            {"not_run_that_ran", totals.not_run_that_ran},
             {"most_running", most},
             {"limit_exceeded", over}};
     }
@@ -244,11 +245,11 @@
     const auto wanted = options["policy"].as<std::string>();
     if (wanted != "all" && !find_policy(wanted))
     {
-        say(find_policy(wanted).reason().message());
+        print_progress(find_policy(wanted).reason().message());
         return 2;
     }
     json::array measured;
-    bool held = true;
+    bool passed = true;
     for (const auto* each : policies())
     {
         const std::string name(each->name());
@@ -257,19 +258,19 @@
         auto outcome = policy_run(on, options, name).run();
         if (!outcome)
         {
-            say(outcome.reason().message());
+            print_progress(outcome.reason().message());
             return 1;
         }
-        say(json::serialize(*outcome));
+        print_progress(json::serialize(*outcome));
         for (const auto* count : {"doubled", "wrong", "not_run_that_ran"})
-            held = held && outcome->at(count).to_number<int>() == 0;
+            passed = passed && outcome->at(count).to_number<int>() == 0;
         measured.push_back(std::move(*outcome));
     }
     report("requests", {{"rate", options["rate"].as<double>()},
                         {"seconds", options["seconds"].as<double>()},
                         {"faults", options.count("faults") != 0},
                         {"policies", std::move(measured)}});
-    return held ? 0 : 1;
+    return passed ? 0 : 1;
 }
 
 } // namespace tillerhall::bench
--- a/benchmark/storm.cpp
+++ b/benchmark/storm.cpp
@@ -1,4 +1,4 @@
-/** @file Many nodes killed and back at once: the source must not feel it. */
+/** @file Many nodes restart at once; load on the source must stay low. */
 #include "experiment.hpp"
 
 #include "tillerhall/table/csv.hpp"
@@ -14,19 +14,19 @@
 
 constexpr std::chrono::seconds storm_limit(60);
 
-/** Watches versions and routes of all nodes during a storm. */
-class storm_watch
+/** Checks versions and routes of all nodes during the restart. */
+class storm_checker
 {
 public:
-    explicit storm_watch(harness::cluster& system)
+    explicit storm_checker(harness::cluster& system)
         : m_system(system)
         , m_last(system.nodes().size(), 0)
     {
     }
 
-    /** Looks at every running node once. @return whether all are at @p head
-     * and ready. */
-    bool look(std::int64_t head)
+    /** Checks every node once. @return true if all are ready and at @p head
+     * or newer. */
+    bool check_nodes(std::int64_t head)
     {
         bool all = true;
         for (std::size_t i = 0; i < m_last.size(); ++i)
@@ -39,8 +39,8 @@
             }
             const auto version = status.at("version").to_number<std::int64_t>();
             const bool ready = status.at("phase").as_string() == "ready";
-            // A node that is ready answers calls, so from then on its
-            // address may not go back, restarts included.
+            // A ready node takes calls, so its version must not go back,
+            // not even over a restart.
             if (ready && version < m_last[i])
                 ++rollbacks;
             if (ready)
@@ -61,7 +61,7 @@
 };
 
 /** @return all control bytes of the nodes from @p first on. */
-double bytes_of(harness::cluster& system, std::size_t first)
+double control_bytes_from(harness::cluster& system, std::size_t first)
 {
     double bytes = 0;
     for (std::size_t i = first; i < system.nodes().size(); ++i)
@@ -90,53 +90,54 @@
     harness::cluster system(on, built);
     if (const auto started = system.start_with_table(); !started)
     {
-        say(started.reason().message());
+        print_progress(started.reason().message());
         return 1;
     }
     const auto table = system.default_table();
-    storm_watch watch(system);
-    watch.look(1);
+    storm_checker checker(system);
+    checker.check_nodes(1);
     const auto count = system.nodes().size();
     const auto share = std::clamp(options["kill"].as<double>(), 0.0, 0.95);
     const auto killed = static_cast<std::size_t>(
         std::floor(share * static_cast<double>(count)));
-    say("killing " + std::to_string(killed) + " of " + std::to_string(count));
+    print_progress("killing " + std::to_string(killed) + " of " +
+                   std::to_string(count));
     for (std::size_t i = 0; i < killed; ++i)
         system.nodes()[i].runs.kill();
-    // Accepted while they are away, so that all of them come back behind.
+    // Accepted while they are down, so that all of them restart outdated.
     if (!system.accept(count - 1, changed_table(table, 7), 1, "meanwhile"))
         return 1;
-    const auto survivors_before = bytes_of(system, killed);
+    const auto survivors_before = control_bytes_from(system, killed);
     system.get(system.platform(), "/admin/reset");
     const auto begin = steady_clock::now();
     for (std::size_t i = 0; i < killed; ++i)
         if (const auto restarted = system.restart(i); !restarted)
         {
-            say(restarted.reason().message());
+            print_progress(restarted.reason().message());
             return 1;
         }
-    const bool back =
-        system.wait_until([&] { return watch.look(2); }, storm_limit);
+    const bool recovered =
+        system.wait_until([&] { return checker.check_nodes(2); }, storm_limit);
     const std::chrono::duration<double, std::milli> took =
         steady_clock::now() - begin;
     const auto counts = system.get(system.platform(), "/admin/stats");
-    // Nodes that came back count from 0.
-    const double spent = bytes_of(system, 0) - survivors_before;
-    const bool held =
-        back && watch.rollbacks == 0 && watch.orphan_routes == 0 && counts;
+    // The counters of restarted nodes begin at 0.
+    const double spent = control_bytes_from(system, 0) - survivors_before;
+    const bool passed = recovered && checker.rollbacks == 0 &&
+                        checker.orphan_routes == 0 && counts;
     report("storm",
            {{"nodes", count},
             {"killed", killed},
-            {"all_at_head_ms", back ? std::round(took.count()) : -1.0},
+            {"all_at_head_ms", recovered ? std::round(took.count()) : -1.0},
             {"peak_source_reads_s",
              counts ? counts->at("peak_reads_s").to_number<double>() : -1.0},
             {"source_bytes",
              counts ? counts->at("bytes_out").to_number<double>() : -1.0},
             {"control_bytes_per_node",
              std::round(spent / static_cast<double>(count))},
-            {"rollbacks", watch.rollbacks},
-            {"orphan_routes", watch.orphan_routes}});
-    return held ? 0 : 1;
+            {"rollbacks", checker.rollbacks},
+            {"orphan_routes", checker.orphan_routes}});
+    return passed ? 0 : 1;
 }
 
 } // namespace tillerhall::bench
