--- a/benchmark/demo.cpp
+++ b/benchmark/demo.cpp
@@ -213,8 +213,8 @@
                        std::to_string(m_system.version(index)));
         expect(m_system.wait_until(
                    [&] {
-                       return m_system.knows_all(0) &&
-                              m_system.knows_all(index);
+                       return m_system.knows_all_targets(0) &&
+                              m_system.knows_all_targets(index);
                    }),
                "the restarted node and the others know each other");
         call_everywhere();
--- a/benchmark/harness/cluster.cpp
+++ b/benchmark/harness/cluster.cpp
@@ -141,7 +141,7 @@
         [this]
         {
             for (std::size_t i = 0; i < m_nodes.size(); ++i)
-                if (!is_ready(i) || !knows_all(i))
+                if (!is_ready(i) || !knows_all_targets(i))
                     return false;
             return true;
         },
@@ -366,7 +366,7 @@
     return answer && answer->at("http_status").to_number<int>() == 200;
 }
 
-bool cluster::knows_all(std::size_t index)
+bool cluster::knows_all_targets(std::size_t index)
 {
     const auto shown = status(index);
     const auto running = std::ranges::count_if(
--- a/benchmark/harness/cluster.hpp
+++ b/benchmark/harness/cluster.hpp
@@ -131,7 +131,7 @@
                           duration limit = std::chrono::seconds(30));
 
     /** @return true if node @p index knows the target of every running node. */
-    bool knows_all(std::size_t index);
+    bool knows_all_targets(std::size_t index);
 
     /** @return CSV with one row per pair of service and place. */
     std::string default_table() const;
--- a/fuzz/http.cpp
+++ b/fuzz/http.cpp
@@ -12,7 +12,7 @@
     using namespace tillerhall;
     namespace http = boost::beast::http;
     http::request_parser<http::empty_body> parser;
-    parser.header_limit(inbound_call::largest_head);
+    parser.header_limit(inbound_call::max_head_bytes);
     boost::system::error_code failed;
     parser.put(boost::asio::const_buffer(data, size), failed);
     if (failed || !parser.is_header_done())
@@ -24,7 +24,7 @@
         return 0;
     const auto now = steady_clock::now();
     const auto context = read_context(head, now);
-    const auto forwarded = onward_head(head, context, context.deadline, now);
+    const auto forwarded = forwarded_head(head, context, context.deadline, now);
     if (forwarded.count(field_name::outcome) != 0 ||
         forwarded.count(http::field::transfer_encoding) != 0)
         std::abort();
--- a/include/tillerhall/control/drain_book.hpp
+++ b/include/tillerhall/control/drain_registry.hpp
@@ -20,14 +20,14 @@
  * whatever its source. A node that does not listen to a reader reads the rows
  * itself. Runs on the first worker.
  */
-class drain_book
+class drain_registry
 {
 public:
     /** Returns the domain that a row orders to drain, or nothing. */
     using decoder =
         std::function<std::optional<std::string>(const stored_row&)>;
 
-    drain_book(mesh_state& mesh, decoder decode)
+    drain_registry(mesh_state& mesh, decoder decode)
         : m_mesh(mesh)
         , m_decode(std::move(decode))
     {
@@ -41,10 +41,11 @@
 
     /** Applies an answer of the store.
      * @param is_whole true if it holds every row, not only changes */
-    void rows_seen(const row_page& page, bool is_whole);
+    void apply_rows(const row_page& page, bool is_whole);
 
     /** Applies the domains of a routes update. */
-    void heard(const std::set<std::string>& domains, std::uint64_t revision);
+    void apply_update(const std::set<std::string>& domains,
+                      std::uint64_t revision);
 
 private:
     void set(std::set<std::string> domains, std::uint64_t revision);
--- a/include/tillerhall/control/quota_controller.hpp
+++ b/include/tillerhall/control/quota_controller.hpp
@@ -3,9 +3,9 @@
 
 #include "tillerhall/distribution/key_range.hpp"
 #include "tillerhall/node/mesh_state.hpp"
-#include "tillerhall/quota/limit_news.hpp"
 #include "tillerhall/quota/quota_gate.hpp"
 #include "tillerhall/quota/quota_ledger.hpp"
+#include "tillerhall/quota/quota_limit_changes.hpp"
 
 #include <boost/json/object.hpp>
 #include <string>
@@ -59,7 +59,7 @@
     std::uint64_t m_version = 0; ///< of the accounts in the ledger
     std::map<std::string, quota_counts>
         m_unsent_totals; ///< not yet sent to other ledgers
-    limit_news m_limit_changes;
+    quota_limit_changes m_limit_changes;
 };
 
 } // namespace tillerhall
--- a/include/tillerhall/control/report_controller.hpp
+++ b/include/tillerhall/control/report_controller.hpp
@@ -19,7 +19,7 @@
     report_controller(mesh_state& mesh,
                       membership_controller& membership,
                       directory_controller& directory,
-                      target_register& targets,
+                      target_registry& targets,
                       target_owner& owner);
 
     /**
@@ -31,10 +31,10 @@
 
     /** The departure records of earlier boots are loaded; reports are judged
      * from now on. */
-    void marks_loaded();
+    void departures_loaded();
 
     /** Announces changes that the owner observed, such as a target crash. */
-    void tell_news();
+    void announce_changes();
 
 private:
     void apply_departures();
@@ -45,7 +45,7 @@
     mesh_state& m_mesh;
     membership_controller& m_membership;
     directory_controller& m_directory;
-    target_register& m_targets;
+    target_registry& m_targets;
     target_owner& m_owner;
 };
 
--- a/include/tillerhall/control/rollout_api.hpp
+++ b/include/tillerhall/control/rollout_api.hpp
@@ -15,9 +15,9 @@
 {
 public:
     /** @param token required for requests that change roll-outs */
-    rollout_api(rollout_book& registry,
+    rollout_api(rollout_registry& registry,
                 rollout_decider& decider,
-                rollout_keeper& store_sync,
+                rollout_store_sync& store_sync,
                 std::string token);
 
     /** Returns nothing if @p request is for another path or method. */
@@ -29,9 +29,9 @@
     http_response revert(const http_request& request);
     http_response submit(const rollout_order& wanted);
 
-    rollout_book& m_registry;
+    rollout_registry& m_registry;
     rollout_decider& m_decider;
-    rollout_keeper& m_store_sync;
+    rollout_store_sync& m_store_sync;
     std::string m_token;
 };
 
--- a/include/tillerhall/control/rollout_decider.hpp
+++ b/include/tillerhall/control/rollout_decider.hpp
@@ -1,7 +1,7 @@
 /** @file Decides on roll-outs by the reports of owners. */
 #pragma once
 
-#include "tillerhall/control/rollout_keeper.hpp"
+#include "tillerhall/control/rollout_store_sync.hpp"
 #include "tillerhall/rollout/rollout_judge.hpp"
 
 #include <boost/json/object.hpp>
@@ -25,8 +25,8 @@
     /** @param is_reader returns true if this node decides also without reports,
      * for when no target of the new release exists */
     rollout_decider(mesh_state& mesh,
-                    rollout_book& registry,
-                    rollout_keeper& store_sync,
+                    rollout_registry& registry,
+                    rollout_store_sync& store_sync,
                     std::function<bool()> is_reader);
 
     void add_methods();
@@ -71,8 +71,8 @@
     std::string rollback_reason(const evaluation& current) const;
 
     mesh_state& m_mesh;
-    rollout_book& m_registry;
-    rollout_keeper& m_store_sync;
+    rollout_registry& m_registry;
+    rollout_store_sync& m_store_sync;
     std::function<bool()> m_is_reader;
     std::map<std::string, evaluation> m_evaluations; ///< by service
 };
--- a/include/tillerhall/control/rollout_book.hpp
+++ b/include/tillerhall/control/rollout_registry.hpp
@@ -20,10 +20,10 @@
  * all. Heartbeats and joins repeat recent records for nodes that a broadcast
  * missed. Runs on the first worker.
  */
-class rollout_book
+class rollout_registry
 {
 public:
-    explicit rollout_book(mesh_state& mesh);
+    explicit rollout_registry(mesh_state& mesh);
 
     /** Adds the control method that receives records from peers. */
     void add_methods();
@@ -47,7 +47,7 @@
     const rollout_record* find(const std::string& service) const;
 
     /** Updates the stable releases after a change of the members. */
-    void note_members();
+    void update_stable_releases();
 
 private:
     /** The only release of a service, and since when it is alone. */
--- a/include/tillerhall/control/rollout_reporter.hpp
+++ b/include/tillerhall/control/rollout_reporter.hpp
@@ -15,9 +15,9 @@
 {
 public:
     rollout_reporter(mesh_state& mesh,
-                     rollout_book& registry,
+                     rollout_registry& registry,
                      rollout_decider& decider,
-                     const target_register& targets,
+                     const target_registry& targets,
                      const target_owner& owner);
 
     void start();
@@ -30,9 +30,9 @@
     void send(const owner_report& report);
 
     mesh_state& m_mesh;
-    rollout_book& m_registry;
+    rollout_registry& m_registry;
     rollout_decider& m_decider;
-    const target_register& m_targets;
+    const target_registry& m_targets;
     const target_owner& m_owner;
     const std::uint64_t m_boot = wall_clock_ms();
     std::uint64_t m_reported_taken = 0;
--- a/include/tillerhall/control/rollout_source.hpp
+++ b/include/tillerhall/control/rollout_source.hpp
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "tillerhall/rollout/rollout_record.hpp"
-#include "tillerhall/rollout/stored_verdict.hpp"
+#include "tillerhall/rollout/stored_rollout_state.hpp"
 #include "tillerhall/store/row_store.hpp"
 
 #include <functional>
@@ -24,12 +24,12 @@
     std::function<std::string(const rollout_order&)> encode_order;
 
     /** Returns the row of the state of a service's roll-out. */
-    std::function<row_name(const std::string& service)> verdict_row;
+    std::function<row_name(const std::string& service)> state_row;
 
-    std::function<result<stored_verdict>(const stored_row&)> decode_verdict;
+    std::function<result<stored_rollout_state>(const stored_row&)> decode_state;
     std::function<std::string(const std::string& service,
-                              const stored_verdict&)>
-        encode_verdict;
+                              const stored_rollout_state&)>
+        encode_state;
 };
 
 } // namespace tillerhall
--- a/include/tillerhall/control/rollout_keeper.hpp
+++ b/include/tillerhall/control/rollout_store_sync.hpp
@@ -1,7 +1,7 @@
 /** @file Reads roll-out orders from the store and writes their states. */
 #pragma once
 
-#include "tillerhall/control/rollout_book.hpp"
+#include "tillerhall/control/rollout_registry.hpp"
 #include "tillerhall/control/rollout_source.hpp"
 
 #include <map>
@@ -17,21 +17,21 @@
  * completed only once that is written; a rollback takes effect at once and is
  * written as soon as the store accepts it. Runs on the first worker.
  */
-class rollout_keeper
+class rollout_store_sync
 {
 public:
     /** @param reads_for_others returns true if this node also writes states
      * that other nodes decided */
-    rollout_keeper(mesh_state& mesh,
-                   rollout_book& registry,
-                   row_store& store,
-                   rollout_source source,
-                   std::function<bool()> reads_for_others);
+    rollout_store_sync(mesh_state& mesh,
+                       rollout_registry& registry,
+                       row_store& store,
+                       rollout_source source,
+                       std::function<bool()> reads_for_others);
 
     void start();
 
     /** Applies rows of the table that holds the orders. */
-    void rows_seen(const std::vector<stored_row>& rows);
+    void apply_rows(const std::vector<stored_row>& rows);
 
     /** Makes this node write the state of @p service 's roll-out. */
     void mark_decided_here(const std::string& service)
@@ -61,7 +61,8 @@
      */
     bool may_write(const std::string& service) const;
     bool read_state(const std::string& service);
-    void apply_state(const rollout_record& known, const stored_verdict& read);
+    void apply_state(const rollout_record& known,
+                     const stored_rollout_state& read);
     bool write(const rollout_record& record, rollout_state state);
     void apply_order(const rollout_order& order);
     /** Merges a record read from the store. Only nodes that may write broadcast
@@ -69,13 +70,14 @@
     void merge_stored(const rollout_record& read);
 
     mesh_state& m_mesh;
-    rollout_book& m_registry;
+    rollout_registry& m_registry;
     row_store& m_store;
     rollout_source m_source;
     std::function<bool()> m_reads_for_others;
     std::map<std::string, std::uint64_t>
         m_orders; ///< revisions seen, by service
-    std::map<std::string, stored_verdict> m_stored; ///< last read or written
+    std::map<std::string, stored_rollout_state>
+        m_stored; ///< last read or written
     std::set<std::string>
         m_decided_here;              ///< services whose state this node decided
     std::set<std::string> m_refused; ///< key and value of refused orders
--- a/include/tillerhall/control/route_controller.hpp
+++ b/include/tillerhall/control/route_controller.hpp
@@ -1,7 +1,7 @@
 /** @file Keeps the routes in force: from a reader, the store or a peer. */
 #pragma once
 
-#include "tillerhall/control/routes_word.hpp"
+#include "tillerhall/control/routes_update.hpp"
 #include "tillerhall/core/backoff.hpp"
 #include "tillerhall/distribution/store_role.hpp"
 #include "tillerhall/node/mesh_state.hpp"
@@ -57,7 +57,7 @@
     bool known() const { return m_mesh.board.call_map.get()->version() != 0; }
 
     /** Returns the present role of this node. */
-    store_duty duty() const;
+    store_role role() const;
 
 private:
     enum class step
@@ -91,11 +91,11 @@
     void apply(const std::string& value, const char* from);
     void apply_packed(const std::string& packed, const char* from);
     void note_store(const error* failed);
-    void note_role(store_duty now);
+    void note_role(store_role now);
 
     /** Sends a routes update to this domain if this node announces. */
-    void speak();
-    void forward(const routes_word& update);
+    void announce();
+    void forward(const routes_update& update);
 
     mesh_state& m_mesh;
     row_store& m_store;
@@ -106,7 +106,7 @@
     backoff m_waits;
     store_role_choice m_role;
     time_point m_started{};
-    store_duty m_last_role = store_duty::poll;
+    store_role m_last_role = store_role::poll;
     std::string m_packed;                  ///< routes in force, for peers
     std::uint64_t m_revision = 0;          ///< of the store, read up to here
     std::uint64_t m_applied_revision = 0;  ///< of the row applied last
--- a/include/tillerhall/control/routes_word.hpp
+++ b/include/tillerhall/control/routes_update.hpp
@@ -12,7 +12,7 @@
 {
 
 /** The version in the store when it was last read, with its routes if new. */
-struct routes_word
+struct routes_update
 {
     std::string reader;            ///< control address
     std::size_t rank = 0;          ///< of the reader in its domain
@@ -25,9 +25,9 @@
     key_range range; ///< members to which the receiver forwards
 };
 
-boost::json::object to_json(const routes_word& sent);
+boost::json::object to_json(const routes_update& sent);
 
 /** Throws std::exception on a bad message; the RPC layer counts it. */
-routes_word routes_word_from_json(const boost::json::object& members);
+routes_update routes_update_from_json(const boost::json::object& members);
 
 } // namespace tillerhall
--- a/include/tillerhall/core/heap.hpp
+++ b/include/tillerhall/core/heap.hpp
@@ -10,6 +10,6 @@
  * freed. By default the threshold grows with each freed buffer, and large
  * buffers then fragment the heap. Call it before the first worker starts.
  */
-void keep_large_buffers_apart();
+void set_malloc_thresholds();
 
 } // namespace tillerhall
--- a/include/tillerhall/core/recent_window.hpp
+++ b/include/tillerhall/core/recent_window.hpp
@@ -28,7 +28,7 @@
     }
 
     /** @return the counts of the span that precedes the current one. */
-    const Counts& before(time_point now)
+    const Counts& previous(time_point now)
     {
         rotate(now);
         return m_previous;
--- a/include/tillerhall/core/worker.hpp
+++ b/include/tillerhall/core/worker.hpp
@@ -38,7 +38,7 @@
      * arrived: the previous poll, or when the worker woke up. The time of a
      * call starts here, so that it includes the wait in the socket's buffer.
      */
-    time_point unseen_since() const noexcept { return m_earliest_arrival; }
+    time_point earliest_arrival() const noexcept { return m_earliest_arrival; }
 
     /**
      * @return the time since the worker was last idle; nothing that it reads
@@ -56,7 +56,7 @@
      * `saturation_hold` afterwards, so that measures against the overload do
      * not end as soon as they take effect.
      */
-    bool is_pressed() const noexcept
+    bool is_saturated() const noexcept
     {
         return busy_for() > saturation_delay ||
                steady_clock::now() < m_saturated_until;
--- a/include/tillerhall/distribution/source_freshness.hpp
+++ b/include/tillerhall/distribution/source_freshness.hpp
@@ -18,7 +18,7 @@
     void note_read(time_point now) noexcept { m_last = now; }
 
     /** Notes a read that a peer reported, @p age_ms ago; negative is none. */
-    void heard(std::int64_t age_ms, time_point now) noexcept
+    void note_peer_read(std::int64_t age_ms, time_point now) noexcept
     {
         if (age_ms < 0)
             return;
--- a/include/tillerhall/distribution/store_role.hpp
+++ b/include/tillerhall/distribution/store_role.hpp
@@ -11,11 +11,11 @@
 {
 
 /** How a node learns of changes in the store. */
-enum class store_duty
+enum class store_role
 {
-    listen, ///< receives the updates of a reader of its domain
-    poll,   ///< asks the store, for itself only
-    speak   ///< asks the store and sends updates to its domain
+    listen,  ///< receives the updates of a reader of its domain
+    poll,    ///< asks the store, for itself only
+    announce ///< asks the store and sends updates to its domain
 };
 
 /**
@@ -60,13 +60,13 @@
     }
 
     /** Returns the role of a node of rank @p own_rank at @p now. */
-    store_duty at(std::size_t own_rank, time_point now) const noexcept
+    store_role at(std::size_t own_rank, time_point now) const noexcept
     {
         if (own_rank == 0)
-            return store_duty::speak;
+            return store_role::announce;
         if (m_answered && now < listens_until())
-            return store_duty::listen;
-        return own_rank < candidates ? store_duty::speak : store_duty::poll;
+            return store_role::listen;
+        return own_rank < candidates ? store_role::announce : store_role::poll;
     }
 
     /** Returns when a listening node stops unless an update arrives. */
--- a/include/tillerhall/distribution/version_gate.hpp
+++ b/include/tillerhall/distribution/version_gate.hpp
@@ -58,7 +58,7 @@
     std::uint64_t greatest_seen() const noexcept { return m_greatest_seen; }
 
     /** Notes that @p version exists. */
-    void saw(std::uint64_t version) noexcept;
+    void note_version(std::uint64_t version) noexcept;
 
     std::size_t held() const noexcept { return m_held.size(); }
 
--- a/include/tillerhall/http/call_session.hpp
+++ b/include/tillerhall/http/call_session.hpp
@@ -3,7 +3,7 @@
 
 #include "tillerhall/http/byte_backlog.hpp"
 #include "tillerhall/http/cancel_scope.hpp"
-#include "tillerhall/http/link_turns.hpp"
+#include "tillerhall/http/link_scheduler.hpp"
 #include "tillerhall/http/stream.hpp"
 #include "tillerhall/http/whole_message.hpp"
 #include "tillerhall/routing/call_route.hpp"
@@ -42,7 +42,7 @@
     /** Counts the bodies that are being read; may be null. */
     byte_backlog* incoming = nullptr;
     /** Schedules large answers on this host's link; may be null. */
-    link_turns* outgoing = nullptr;
+    link_scheduler* outgoing = nullptr;
     /** Calls of all sessions, from the read of the request until the answer
      * is sent. */
     std::int64_t unanswered = 0;
--- a/include/tillerhall/http/exchange.hpp
+++ b/include/tillerhall/http/exchange.hpp
@@ -54,6 +54,6 @@
 /** @return the timeout of the response's Keep-Alive field, after which its
  * sender may close the idle connection; nullopt without one (RFC 9112, 9.3). */
 std::optional<std::chrono::seconds>
-idle_seconds_told(const whole_response& response);
+keep_alive_timeout(const whole_response& response);
 
 } // namespace tillerhall
--- a/include/tillerhall/http/inbound_call.hpp
+++ b/include/tillerhall/http/inbound_call.hpp
@@ -30,7 +30,7 @@
 class inbound_call
 {
 public:
-    static constexpr std::uint32_t largest_head = 16 * 1024;
+    static constexpr std::uint32_t max_head_bytes = 16 * 1024;
     static constexpr std::size_t max_prefix_bytes = 64 * 1024;
 
     /** @param buffer bytes read ahead, shared by all calls of @p stream */
@@ -54,7 +54,7 @@
     const std::string& prefix() const noexcept { return m_prefix; }
 
     /** @return true if no piece was read: the prefix is all that was sent. */
-    bool can_send_again() const noexcept { return !m_pieces_read; }
+    bool can_retry() const noexcept { return !m_pieces_read; }
 
     /** @return the Content-Length, if there is one. */
     std::optional<std::uint64_t> length() const;
--- a/include/tillerhall/http/link_turns.hpp
+++ b/include/tillerhall/http/link_scheduler.hpp
@@ -9,11 +9,11 @@
 {
 
 /** Assigns transfer slots by a `link_schedule` to fibers of one worker. */
-class link_turns
+class link_scheduler
 {
 public:
     /** @param mbps rate of the host's link in Mbit/s; 0 if not known */
-    link_turns(boost::asio::io_context& io, double mbps)
+    link_scheduler(boost::asio::io_context& io, double mbps)
         : m_io(io)
         , m_grant_timer(io)
         , m_schedule(mbps)
--- a/include/tillerhall/http/listener.hpp
+++ b/include/tillerhall/http/listener.hpp
@@ -37,7 +37,7 @@
 
     /** Starts accepting; @p handle is called for each connection. It needs no
      * fiber per connection, so that idle connections take no stack. */
-    void start_taking(connection_handler handle);
+    void start_accepting(connection_handler handle);
 
     /** Stops accepting; open connections stay open. */
     void close();
--- a/include/tillerhall/http/whole_message.hpp
+++ b/include/tillerhall/http/whole_message.hpp
@@ -27,7 +27,7 @@
 struct received_request
 {
     whole_request message;
-    /** Earliest time at which its head came; see `worker::unseen_since`. */
+    /** Earliest time at which its head came; see `worker::earliest_arrival`. */
     time_point received{};
     /** Time by which the answer should arrive; set by the code that answers. */
     time_point answer_due = time_point::max();
--- a/include/tillerhall/membership/member.hpp
+++ b/include/tillerhall/membership/member.hpp
@@ -3,7 +3,7 @@
 
 #include "tillerhall/core/address.hpp"
 #include "tillerhall/membership/good_run.hpp"
-#include "tillerhall/membership/target_end.hpp"
+#include "tillerhall/membership/target_crash.hpp"
 
 #include <boost/json/value.hpp>
 #include <chrono>
@@ -62,7 +62,7 @@
     std::vector<std::string> left_targets;
     std::uint32_t link_mbps = 0; ///< of the host's link; 0 if unknown
     /** Crashes of the target while calls ran there, newest last. */
-    std::vector<target_end> target_ends;
+    std::vector<target_crash> target_crashes;
     /** Calls that ran well here although targets had crashed under them,
      * newest last. */
     std::vector<good_run> good_runs;
@@ -90,20 +90,20 @@
  * the newest 4.
  * @return true if any was new.
  */
-bool add_target_ends(member& to, const std::vector<target_end>& crashes);
+bool add_target_crashes(member& to, const std::vector<target_crash>& crashes);
 
-/** Like `add_target_ends`, for @p runs; keeps the newest 16. */
+/** Like `add_target_crashes`, for @p runs; keeps the newest 16. */
 bool add_good_runs(member& to, const std::vector<good_run>& runs);
 
 /** Retention of crashes and good runs in member records: as long as the longest
  * quarantine of a call. Bounds the size of the records. */
-inline constexpr std::chrono::hours news_kept{24};
+inline constexpr std::chrono::hours crash_evidence_kept{24};
 
 /**
  * Removes crashes and good runs from before @p oldest_ms (Unix time).
  * @return true if any was removed.
  */
-bool forget_news(member& of, std::uint64_t oldest_ms);
+bool forget_crash_evidence(member& of, std::uint64_t oldest_ms);
 
 /** @return true if calls may be sent to this member's target. */
 bool takes_calls(const member& checked) noexcept;
--- a/include/tillerhall/node/blackboard.hpp
+++ b/include/tillerhall/node/blackboard.hpp
@@ -4,17 +4,17 @@
 #include "tillerhall/core/published.hpp"
 #include "tillerhall/node/call_log.hpp"
 #include "tillerhall/node/journal.hpp"
-#include "tillerhall/node/pulse.hpp"
-#include "tillerhall/observe/bounded_log.hpp"
+#include "tillerhall/node/stall_detector.hpp"
 #include "tillerhall/observe/burn_tracker.hpp"
 #include "tillerhall/observe/metrics.hpp"
+#include "tillerhall/observe/rate_limited_log.hpp"
 #include "tillerhall/observe/traffic.hpp"
 #include "tillerhall/rollout/rollout_view.hpp"
 #include "tillerhall/routing/call_routes.hpp"
 #include "tillerhall/routing/domain_drains.hpp"
+#include "tillerhall/routing/poison_calls.hpp"
 #include "tillerhall/routing/route_view.hpp"
 #include "tillerhall/routing/service_targets.hpp"
-#include "tillerhall/routing/suspect_calls.hpp"
 
 #include <atomic>
 
@@ -53,9 +53,9 @@
         service_targets_ptr(new service_targets)};
     published<rollout_view> rollouts{rollout_view_ptr(new rollout_view)};
     published<domain_drains> drains{domain_drains_ptr(new domain_drains)};
-    published<suspect_calls> suspects{suspect_calls_ptr(new suspect_calls)};
+    published<poison_calls> poison_view{poison_calls_ptr(new poison_calls)};
     std::atomic<node_phase> phase{node_phase::joining};
-    pulse control;
+    stall_detector control;
     std::atomic<std::int64_t> calls_in_flight{0};
     /** Wall clock when the current version took effect, in microseconds. */
     std::atomic<std::int64_t> applied_us{0};
@@ -66,7 +66,7 @@
     /** Returns true if calls may be accepted and forwarded now. */
     bool may_take_calls() const noexcept
     {
-        return phase == node_phase::ready && !control.was_paused();
+        return phase == node_phase::ready && !control.is_stalled();
     }
 
     metrics_registry metrics;
@@ -74,7 +74,7 @@
     burn_tracker burn;
     call_log calls;
     journal decisions;
-    bounded_log call_lines;
+    rate_limited_log call_lines;
 };
 
 } // namespace tillerhall
--- a/include/tillerhall/node/call_admission.hpp
+++ b/include/tillerhall/node/call_admission.hpp
@@ -50,7 +50,7 @@
     duration mean_run() const;
     duration retry_after() const;
     std::int64_t in_flight() const;
-    std::int64_t most_in_flight() const;
+    std::int64_t peak_in_flight() const;
 
 private:
     mutable std::mutex m_mutex;
--- a/include/tillerhall/node/call_context.hpp
+++ b/include/tillerhall/node/call_context.hpp
@@ -30,10 +30,10 @@
 
 /** Returns @p head as forwarded to the next hop: without hop-by-hop and mesh
  * fields, but with the request id and the time left until @p deadline. */
-request_head onward_head(const request_head& head,
-                         const call_context& context,
-                         time_point deadline,
-                         time_point now);
+request_head forwarded_head(const request_head& head,
+                            const call_context& context,
+                            time_point deadline,
+                            time_point now);
 
 /**
  * Returns the digest that identifies a keyed call: of the key and the caller's
--- a/include/tillerhall/node/end_register.hpp
+++ b/include/tillerhall/node/crash_registry.hpp
@@ -2,9 +2,9 @@
 #pragma once
 
 #include "tillerhall/membership/good_run.hpp"
-#include "tillerhall/membership/target_end.hpp"
+#include "tillerhall/membership/target_crash.hpp"
 #include "tillerhall/proxy/recent_runs.hpp"
-#include "tillerhall/routing/suspect_calls.hpp"
+#include "tillerhall/routing/poison_calls.hpp"
 
 #include <boost/intrusive/list.hpp>
 #include <functional>
@@ -21,21 +21,21 @@
 whole_request fingerprinted_part(const inbound_call& call);
 
 /** @return the quarantine of @p call, or nullopt if it may run. */
-std::optional<call_hold> hold_on(const suspect_calls& known,
-                                 const inbound_call& call);
+std::optional<call_quarantine> active_quarantine(const poison_calls& known,
+                                                 const inbound_call& call);
 
 /**
  * Reports the calls that were running when the target crashed, and those of
  * them that later run well. Used by all workers; its lock is a leaf in the lock
  * order.
  */
-class end_register
+class crash_registry
 {
 public:
     /** Called on any worker with what shall be announced to the other nodes. */
     struct callbacks
     {
-        std::function<void(const target_end&)> crashed;
+        std::function<void(const target_crash&)> crashed;
         std::function<void(const good_run&)> ran_well;
     };
 
@@ -46,7 +46,7 @@
     public:
         /** @param call must have read the prefix of its body; must outlive the
          * run */
-        run(end_register& in, const inbound_call& call);
+        run(crash_registry& in, const inbound_call& call);
         ~run();
 
         run(const run&) = delete;
@@ -55,20 +55,20 @@
         const inbound_call& call() const noexcept { return m_call; }
 
     private:
-        end_register& m_in;
+        crash_registry& m_in;
         const inbound_call& m_call;
     };
 
-    void set_news(callbacks actions) { m_callbacks = std::move(actions); }
+    void set_callbacks(callbacks actions) { m_callbacks = std::move(actions); }
 
     /** Call when @p target refuses connections after a call to it was lost. */
-    void target_ended(const std::string& target);
+    void target_crashed(const std::string& target);
 
     /** Call when @p call has succeeded. */
-    void ran_well(const inbound_call& call, const suspect_calls& known);
+    void ran_well(const inbound_call& call, const poison_calls& known);
 
 private:
-    std::optional<target_end> crash_of(const std::string& target);
+    std::optional<target_crash> crash_of(const std::string& target);
 
     std::mutex m_mutex;
     boost::intrusive::list<run> m_runs;
--- a/include/tillerhall/node/distribution_controller.hpp
+++ b/include/tillerhall/node/distribution_controller.hpp
@@ -47,7 +47,10 @@
     {
         return m_gate.greatest_seen();
     }
-    void note_version(std::uint64_t version) noexcept { m_gate.saw(version); }
+    void note_version(std::uint64_t version) noexcept
+    {
+        m_gate.note_version(version);
+    }
     const distribution_strategy& strategy() const noexcept
     {
         return m_strategy;
--- a/include/tillerhall/node/membership_controller.hpp
+++ b/include/tillerhall/node/membership_controller.hpp
@@ -52,10 +52,10 @@
      * Sends this node's own record to @p peer.
      * @return true if the peer acknowledged it.
      */
-    bool tell(const address& peer);
+    bool send_self_record(const address& peer);
 
     /** Merges records that were read from the store. */
-    void learn(const std::vector<member>& records);
+    void merge_stored(const std::vector<member>& records);
 
     /** Records a failed connection to @p node. */
     void connect_failed(const address& node);
--- a/include/tillerhall/node/mesh_state.hpp
+++ b/include/tillerhall/node/mesh_state.hpp
@@ -44,11 +44,11 @@
     /** Called on the first worker with each new route view. */
     std::function<void(const route_view&)> routes_changed;
     /** Called with the version of the routes that a peer reported. */
-    std::function<void(std::uint64_t, const address&)> routes_heard;
+    std::function<void(std::uint64_t, const address&)> on_routes_version;
     /** Returns the roll-outs to include in heartbeats and answers to joins. */
-    std::function<std::vector<rollout_record>()> rollouts_told;
+    std::function<std::vector<rollout_record>()> rollouts_to_send;
     /** Called with the roll-outs that a peer sent. */
-    std::function<void(const std::vector<rollout_record>&)> rollouts_heard;
+    std::function<void(const std::vector<rollout_record>&)> on_rollouts;
 };
 
 } // namespace tillerhall
--- a/include/tillerhall/node/messages.hpp
+++ b/include/tillerhall/node/messages.hpp
@@ -29,12 +29,12 @@
 inline constexpr const char* snapshot = "snap";
 inline constexpr const char* watch = "watch";
 inline constexpr const char* routes = "routes";
-inline constexpr const char* routes_word = "word";
+inline constexpr const char* routes_update = "word";
 inline constexpr const char* rollouts = "rollouts";
 inline constexpr const char* owner_report = "runs";
 inline constexpr const char* rollout_account = "trials";
 inline constexpr const char* quota_counts = "spent";
-inline constexpr const char* quota_sums = "sums";
+inline constexpr const char* quota_totals = "sums";
 inline constexpr const char* quota_limits = "limits";
 } // namespace method
 
@@ -125,10 +125,10 @@
 /** Number of nodes at a version, summed over a range. */
 struct watch_report
 {
-    static constexpr std::size_t most_named = 16;
+    static constexpr std::size_t max_named = 16;
 
     std::map<std::string, domain_count> domains;
-    /** Control addresses of nodes behind, at most `most_named`. */
+    /** Control addresses of nodes behind, at most `max_named`. */
     std::vector<std::string> laggards;
     std::uint64_t greatest_version = 0;
 
--- a/include/tillerhall/node/operator_token.hpp
+++ b/include/tillerhall/node/operator_token.hpp
@@ -14,6 +14,6 @@
 result<std::string> read_operator_token(const settings& config);
 
 /** Returns true if @p request carries @p token; false if that is empty. */
-bool brings_token(const http_request& request, const std::string& token);
+bool has_valid_token(const http_request& request, const std::string& token);
 
 } // namespace tillerhall
--- a/include/tillerhall/node/owner_proxy.hpp
+++ b/include/tillerhall/node/owner_proxy.hpp
@@ -7,7 +7,7 @@
 #include "tillerhall/node/blackboard.hpp"
 #include "tillerhall/node/call_admission.hpp"
 #include "tillerhall/node/call_context.hpp"
-#include "tillerhall/node/end_register.hpp"
+#include "tillerhall/node/crash_registry.hpp"
 #include "tillerhall/node/settings.hpp"
 
 namespace tillerhall
@@ -20,7 +20,7 @@
     owner_proxy(const settings& config,
                 blackboard& board,
                 call_admission& admission_gate,
-                end_register& crashes,
+                crash_registry& crashes,
                 worker& own_worker);
 
     /** Serves calls from another node on @p stream. */
@@ -36,7 +36,7 @@
     run(inbound_call& call, const call_context& context, bool from_peer);
 
     /** Returns the refusal of a poison call. */
-    relay_result refuse_quarantined(const call_hold& quarantine) const;
+    relay_result refuse_quarantined(const call_quarantine& quarantine) const;
 
 private:
     relay_result run_admitted(inbound_call& call,
@@ -55,7 +55,7 @@
     const settings& m_config;
     blackboard& m_board;
     call_admission& m_admission;
-    end_register& m_ends;
+    crash_registry& m_crash_registry;
     worker& m_worker;
     stream_pool m_pool;
 };
--- a/include/tillerhall/node/suspect_news.hpp
+++ b/include/tillerhall/node/poison_calls_publisher.hpp
@@ -12,6 +12,6 @@
  * journal entry for each newly quarantined call; docs/OPERATORS.md describes
  * the remedy.
  */
-void publish_suspects(blackboard& board, const member_list& members);
+void publish_poison_calls(blackboard& board, const member_list& members);
 
 } // namespace tillerhall
--- a/include/tillerhall/node/range_query.hpp
+++ b/include/tillerhall/node/range_query.hpp
@@ -25,11 +25,11 @@
  * @param missing called with the range of each part without an answer
  */
 template <class Take, class Missing>
-void ask_range(mesh_state& mesh,
-               const range_query& query,
-               const key_range& range,
-               Take take,
-               Missing missing)
+void query_range(mesh_state& mesh,
+                 const range_query& query,
+                 const key_range& range,
+                 Take take,
+                 Missing missing)
 {
     constexpr milliseconds timeout(2000);
     const auto query_part = [&](const range_part& part)
--- a/include/tillerhall/node/pulse.hpp
+++ b/include/tillerhall/node/stall_detector.hpp
@@ -13,11 +13,11 @@
  * last tick is too old, so that calls are refused even before the control
  * plane runs again. Thread-safe.
  */
-class pulse
+class stall_detector
 {
 public:
     /** @param limit longest time without a tick that is not a stall */
-    explicit pulse(duration limit = std::chrono::seconds(2)) noexcept
+    explicit stall_detector(duration limit = std::chrono::seconds(2)) noexcept
         : m_limit_ms(to_ms(limit))
         , m_last_ms(now_ms())
     {
@@ -27,9 +27,9 @@
     void tick() noexcept { m_last_ms = now_ms(); }
 
     /** @return milliseconds since the last tick. */
-    std::int64_t quiet_ms() const noexcept { return now_ms() - m_last_ms; }
+    std::int64_t ms_since_tick() const noexcept { return now_ms() - m_last_ms; }
 
-    bool was_paused() const noexcept { return quiet_ms() > m_limit_ms; }
+    bool is_stalled() const noexcept { return ms_since_tick() > m_limit_ms; }
 
 private:
     static std::int64_t now_ms() noexcept
--- a/include/tillerhall/node/target_controller.hpp
+++ b/include/tillerhall/node/target_controller.hpp
@@ -21,8 +21,8 @@
 
     /** Announces a crash of the target, or a good run of a call that was listed
      * in a crash, to all members. */
-    void tell(const target_end& crash);
-    void tell(const good_run& run);
+    void announce(const target_crash& crash);
+    void announce(const good_run& run);
 
 private:
     void check_loop();
--- a/include/tillerhall/observe/bounded_log.hpp
+++ b/include/tillerhall/observe/rate_limited_log.hpp
@@ -14,7 +14,7 @@
  * that it drops and reports their number in the next line that it writes. Not
  * thread-safe: for the fibers of one worker.
  */
-class bounded_log
+class rate_limited_log
 {
 public:
     static constexpr double lines_per_s = 20;
--- a/include/tillerhall/observe/traffic.hpp
+++ b/include/tillerhall/observe/traffic.hpp
@@ -21,7 +21,7 @@
     other
 };
 
-inline constexpr std::size_t traffic_kinds = 7;
+inline constexpr std::size_t traffic_kind_count = 7;
 
 /** @return the name of @p kind in metrics. */
 std::string_view name_of(traffic_kind kind) noexcept;
@@ -45,7 +45,7 @@
         std::atomic<std::uint64_t> out{0};
     };
 
-    std::array<pair, traffic_kinds> m_kinds;
+    std::array<pair, traffic_kind_count> m_kinds;
 };
 
 } // namespace tillerhall
--- a/include/tillerhall/proxy/call_entry.hpp
+++ b/include/tillerhall/proxy/call_entry.hpp
@@ -8,13 +8,13 @@
 #include "tillerhall/proxy/owner_choice.hpp"
 #include "tillerhall/proxy/target_owner.hpp"
 #include "tillerhall/quota/quota_gate.hpp"
-#include "tillerhall/rollout/exposure_tickets.hpp"
-#include "tillerhall/routing/fleet_budget.hpp"
+#include "tillerhall/rollout/exposure_permits.hpp"
+#include "tillerhall/routing/deadline_budgets.hpp"
+#include "tillerhall/routing/fleet_retry_budget.hpp"
 #include "tillerhall/routing/objectives_in_use.hpp"
-#include "tillerhall/routing/refusal_memory.hpp"
+#include "tillerhall/routing/refusal_cache.hpp"
 #include "tillerhall/routing/share_sequence.hpp"
 #include "tillerhall/routing/target_board.hpp"
-#include "tillerhall/routing/usual_budgets.hpp"
 
 #include <boost/intrusive/list.hpp>
 #include <functional>
@@ -31,7 +31,7 @@
     address own;         ///< control address of this node
     member_place place;  ///< of this host
     std::string service; ///< of this host; sent as the caller of its calls
-    fleet_budget_limits budget;
+    fleet_retry_budget_limits budget;
 };
 
 /** Routes calls to targets; for fibers of one worker. */
@@ -71,9 +71,9 @@
     /** State of this node for one service. */
     struct service_record
     {
-        fleet_budget budget;
+        fleet_retry_budget budget;
         double failure_share = 0; ///< moving average over the runs
-        exposure_tickets permits; ///< for canary targets
+        exposure_permits permits; ///< for canary targets
     };
 
     /** One call and the results of its tries so far. */
@@ -105,7 +105,7 @@
                               const call_routes& routes,
                               const call_route& route);
     whole_response refuse_caller(const std::string& id,
-                                 caller_standing standing) const;
+                                 caller_status status) const;
     /** @return the time until the account has quota again, if it has none. */
     std::optional<duration> over_quota(const caller_identity& caller);
     /** Sets the account for the target and removes the client's key. */
@@ -146,7 +146,7 @@
                         const owner_answer& answer,
                         time_point now);
     /** Queries the load of an owner on a connection of the call pool. */
-    std::optional<owner_word> query_load(const member& owner);
+    std::optional<load_report> query_load(const member& owner);
     /** Claims a transfer slot for a body on an owner's link.
      * @return the wait before the next claim, zero if the body may be sent;
      * nothing if the owner does not answer */
@@ -166,12 +166,13 @@
                            const call_state& state,
                            const owner_answer& last);
     /** @return the quarantine of a call that crashed targets, if any. */
-    std::optional<call_hold> quarantine_status(const received_request& request,
-                                               const call_state& state) const;
+    std::optional<call_quarantine>
+    quarantine_status(const received_request& request,
+                      const call_state& state) const;
     /** Refuses a quarantined call, or sends it to the owner that probes it. */
     owner_answer forward_quarantined(received_request& request,
                                      call_state& state,
-                                     const call_hold& quarantine,
+                                     const call_quarantine& quarantine,
                                      cancel_scope& scope);
     bool take_retry_budget(const std::string& service,
                            const owner_answer& last);
@@ -191,12 +192,12 @@
     const worker& m_worker;
     entry_log m_log;
     random_source m_random{entropy_seed()};
-    refusal_memory m_refusals;
+    refusal_cache m_refusals;
     recent_runs m_recent_good_calls;
     stream_pool m_pool;
     share_sequence m_shares;
     objectives_in_use m_objectives;
-    usual_budgets m_deadline_budgets;
+    deadline_budgets m_deadline_budgets;
     std::map<std::string, service_record> m_services;
     boost::intrusive::list<call_state,
                            boost::intrusive::constant_time_size<false>>
--- a/include/tillerhall/proxy/call_fingerprint.hpp
+++ b/include/tillerhall/proxy/call_fingerprint.hpp
@@ -11,8 +11,8 @@
 namespace tillerhall
 {
 
-struct call_hold;
-class suspect_calls;
+struct call_quarantine;
+class poison_calls;
 
 /**
  * An identifier shared by all tries of one call, whichever client sends them
@@ -36,13 +36,14 @@
 call_fingerprint fingerprint_of(const whole_request& request);
 
 /**
- * @return the quarantine of @p request, see `suspect_calls::hold_of`.
+ * @return the quarantine of @p request, see `poison_calls::quarantine_of`.
  * Computes no digest while no crash is known, and none of the body unless the
  * head matches a known poison call.
  * @param ended_at owners whose target crashed in the present try
  */
-std::optional<call_hold> hold_of(const suspect_calls& known,
-                                 const whole_request& request,
-                                 const std::vector<address>& crashed_at = {});
+std::optional<call_quarantine>
+quarantine_of(const poison_calls& known,
+              const whole_request& request,
+              const std::vector<address>& crashed_at = {});
 
 } // namespace tillerhall
--- a/include/tillerhall/proxy/caller_check.hpp
+++ b/include/tillerhall/proxy/caller_check.hpp
@@ -8,25 +8,25 @@
 {
 
 /** Result of the check of a caller. */
-enum class caller_standing
+enum class caller_status
 {
-    anyone,   ///< no account is required and none is given
-    account,  ///< the key belongs to an account
-    target,   ///< made by a run of the local target; uses no account
-    unproved, ///< no key, and perhaps made by a run that is not known
-    not_known ///< no key, a malformed one or one without an account
+    anonymous,      ///< no account is required and none is given
+    account,        ///< the key belongs to an account
+    target,         ///< made by a run of the local target; uses no account
+    unverified,     ///< no key, and perhaps made by a run that is not known
+    unauthenticated ///< no key, a malformed one or one without an account
 };
 
 /** The caller of a call. */
 struct caller_identity
 {
-    caller_standing standing = caller_standing::anyone;
+    caller_status status = caller_status::anonymous;
     const client_account* account = nullptr; ///< owned by the routes
 
     bool may_call() const noexcept
     {
-        return standing != caller_standing::unproved &&
-               standing != caller_standing::not_known;
+        return status != caller_status::unverified &&
+               status != caller_status::unauthenticated;
     }
 };
 
@@ -42,7 +42,7 @@
  * the route is not open; an unknown key is refused on open routes too. A call
  * without a key is accepted as the target's own only if its id names an active
  * run here. If the id merely looks nested, perhaps because this process has
- * restarted since, the result is `unproved`, not `not_known`. Pure.
+ * restarted since, the result is `unverified`, not `unauthenticated`. Pure.
  */
 caller_identity identify_caller(const whole_request& request,
                                 const call_routes& routes,
--- a/include/tillerhall/proxy/owner_answer.hpp
+++ b/include/tillerhall/proxy/owner_answer.hpp
@@ -80,11 +80,11 @@
     bool others_would_refuse = false; ///< for the same reason
     bool target_crashed = false;      ///< while the call ran there
     duration retry_after{};           ///< for a refusal
-    owner_word report;
+    load_report report;
 };
 
 /** Reason for refusing a quarantined call. */
-inline constexpr const char* ends_its_targets = "ends_its_targets";
+inline constexpr const char* crashes_its_targets = "ends_its_targets";
 
 /** Request id of load queries and of the answers to them. */
 inline constexpr const char* load_query_id = "load";
--- a/include/tillerhall/proxy/owner_choice.hpp
+++ b/include/tillerhall/proxy/owner_choice.hpp
@@ -35,7 +35,7 @@
 public:
     /** Queries an owner's load. @return nothing if it does not answer */
     using load_query_fn =
-        std::function<std::optional<owner_word>(const member&)>;
+        std::function<std::optional<load_report>(const member&)>;
     /** Claims a transfer slot for a body on an owner's link. @return the wait
      * before the next claim, zero if granted; nothing if there is no answer */
     using slot_claim_fn =
@@ -71,14 +71,14 @@
     member_ptr choose_small(const std::vector<member_ptr>& candidates,
                             const std::vector<address>& avoid,
                             const call_origin& from);
-    std::vector<owner_outlook>
-    outlooks_of(const std::vector<member_ptr>& candidates,
-                const std::vector<address>& avoid,
-                const call_origin& from) const;
+    std::vector<owner_estimate>
+    estimates_of(const std::vector<member_ptr>& candidates,
+                 const std::vector<address>& avoid,
+                 const call_origin& from) const;
     /** @return the owners that were queried and answered. */
     std::vector<member_ptr>
     query_for_room(const std::vector<member_ptr>& candidates,
-                   const std::vector<owner_outlook>& outlooks,
+                   const std::vector<owner_estimate>& estimates,
                    const member_ptr& preferred,
                    const call_origin& from);
     bool is_unresponsive(const address& owner, time_point now) const;
--- a/include/tillerhall/proxy/run_statistics.hpp
+++ b/include/tillerhall/proxy/run_statistics.hpp
@@ -39,7 +39,7 @@
                       const owner_answer& answer,
                       const run_context& context);
 
-    std::uint64_t taken_count() const noexcept { return m_started; }
+    std::uint64_t started_count() const noexcept { return m_started; }
     const counts_by_class& counts() const noexcept { return m_counts; }
 
 private:
--- a/include/tillerhall/proxy/target_owner.hpp
+++ b/include/tillerhall/proxy/target_owner.hpp
@@ -4,7 +4,7 @@
 #include "tillerhall/core/worker.hpp"
 #include "tillerhall/http/byte_backlog.hpp"
 #include "tillerhall/http/exchange.hpp"
-#include "tillerhall/http/link_turns.hpp"
+#include "tillerhall/http/link_scheduler.hpp"
 #include "tillerhall/http/stream_pool.hpp"
 #include "tillerhall/node/blackboard.hpp"
 #include "tillerhall/node/call_admission.hpp"
@@ -14,12 +14,12 @@
 #include "tillerhall/proxy/run_statistics.hpp"
 #include "tillerhall/proxy/wire_names.hpp"
 #include "tillerhall/routing/answer_sizes.hpp"
-#include "tillerhall/routing/body_grants.hpp"
-#include "tillerhall/routing/cold_gate.hpp"
+#include "tillerhall/routing/cold_rate_limiter.hpp"
 #include "tillerhall/routing/failure_shedder.hpp"
+#include "tillerhall/routing/poison_calls.hpp"
 #include "tillerhall/routing/run_estimates.hpp"
-#include "tillerhall/routing/suspect_calls.hpp"
-#include "tillerhall/targets/target_register.hpp"
+#include "tillerhall/routing/transfer_slots.hpp"
+#include "tillerhall/targets/target_registry.hpp"
 
 namespace tillerhall
 {
@@ -42,21 +42,24 @@
                  const std::string& service,
                  const std::string& domain,
                  blackboard& board,
-                 const target_register& targets,
+                 const target_registry& targets,
                  worker& on,
                  const std::string& own_ip);
 
-    void set_news(change_callback action) { m_on_change = std::move(action); }
+    void set_change_callback(change_callback action)
+    {
+        m_on_change = std::move(action);
+    }
 
     /** Sets the scheduler of large answers, whose backlog is reported. */
-    void set_link(const link_turns& outgoing, double mbps)
+    void set_link(const link_scheduler& outgoing, double mbps)
     {
         m_link = &outgoing;
-        m_transfer_slots = body_grants(mbps);
+        m_transfer_slots = transfer_slots(mbps);
     }
 
     /** Claims a transfer slot for a body of @p bytes. @return the wait before
-     * the next claim, see `body_grants` */
+     * the next claim, see `transfer_slots` */
     duration claim_transfer_slot(std::uint64_t bytes)
     {
         return m_transfer_slots.claim(bytes, steady_clock::now());
@@ -77,7 +80,7 @@
     bool is_target_up() const noexcept { return m_is_up; }
 
     /** @return the last crash of the target during calls, if any. */
-    const std::optional<target_end>& last_end() const noexcept
+    const std::optional<target_crash>& last_crash() const noexcept
     {
         return m_last_crash;
     }
@@ -88,13 +91,13 @@
         return m_good_runs;
     }
 
-    const call_admission& places() const noexcept { return m_admission; }
+    const call_admission& admission() const noexcept { return m_admission; }
 
     /** @return the load by which entries choose an owner. */
-    owner_word current_load() const;
+    load_report current_load() const;
 
     /** @return the same, with the run time of @p work. */
-    owner_word current_load_for(const work_class& work) const;
+    load_report current_load_for(const work_class& work) const;
 
     /**
      * Notes that a call from this host failed; a run of the target may have
@@ -106,7 +109,7 @@
     run_registry& runs() noexcept { return m_runs; }
 
     /** @return how runs of the current target ended, by class of work. */
-    const run_statistics& evidence() const noexcept { return m_run_stats; }
+    const run_statistics& run_stats() const noexcept { return m_run_stats; }
 
     /** Bytes of bodies that other nodes are sending to this one. */
     byte_backlog& incoming() noexcept { return m_incoming; }
@@ -145,10 +148,11 @@
     /** @return the refusal if nothing may be sent to the target now. */
     std::optional<owner_answer> refusal_to_send(const owner_call& call) const;
     /** @return whether a quarantined call may run here now as a probe. */
-    bool may_probe(const owner_call& call, const call_hold& quarantine) const;
+    bool may_probe(const owner_call& call,
+                   const call_quarantine& quarantine) const;
     /** Refuses a quarantined call. */
     owner_answer refuse_quarantined(const owner_call& call,
-                                    const call_hold& quarantine) const;
+                                    const call_quarantine& quarantine) const;
     owner_answer client_left(const owner_call& call) const;
     bool takes_calls() const;
     whole_response answer_load_query(const whole_request& query);
@@ -173,7 +177,7 @@
     bool has_crashed(const target_report& target);
     /** Records a crash for the other nodes, with the calls that were active. */
     void record_crash(const target_report& target);
-    target_end make_crash_record(const target_report& target);
+    target_crash make_crash_record(const target_report& target);
     /** Records a good run. @param was_quarantined the run was a probe */
     void record_good_run(const whole_request& request, bool was_quarantined);
     /** Announces a known poison call that runs well here, which clears it. */
@@ -188,10 +192,10 @@
     const std::string& m_service;
     const std::string& m_domain; ///< failure domain
     blackboard& m_board;
-    const target_register& m_targets;
+    const target_registry& m_targets;
     worker& m_worker;
     call_admission m_admission;
-    mutable cold_gate m_cold_limiter{steady_clock::now()};
+    mutable cold_rate_limiter m_cold_limiter{steady_clock::now()};
     stream_pool m_pool;
     change_callback m_on_change;
     byte_backlog m_incoming;
@@ -200,11 +204,11 @@
     run_estimates m_run_times;
     answer_sizes m_answer_sizes;
     byte_backlog m_reserved_answers; ///< of the active runs
-    const link_turns* m_link = nullptr;
-    body_grants m_transfer_slots{0};
+    const link_scheduler* m_link = nullptr;
+    transfer_slots m_transfer_slots{0};
     bool m_is_up = true;
     time_point m_crashed_at{}; ///< time of the last crash
-    std::optional<target_end> m_last_crash;
+    std::optional<target_crash> m_last_crash;
     std::vector<good_run> m_good_runs;
     recent_runs m_recent_good_runs;
     int m_active_probes = 0; ///< at most one
--- a/include/tillerhall/proxy/wire_names.hpp
+++ b/include/tillerhall/proxy/wire_names.hpp
@@ -23,7 +23,7 @@
     /** Present if a target refused a call without running it. */
     std::string not_run = "X-Not-Run";
     /** Field by which a target confirms a success; empty if it has none. */
-    std::string proof;
+    std::string success_seal;
     /** Client account of a call; set by the mesh. */
     std::string account = "Tillerhall-Account";
 };
--- a/include/tillerhall/quota/quota_gate.hpp
+++ b/include/tillerhall/quota/quota_gate.hpp
@@ -26,7 +26,7 @@
 public:
     /** Time without an answer after which no ledger counts as reachable. */
     static constexpr std::chrono::seconds ledger_timeout{2};
-    /** Calls of `take_due` between messages without counts. */
+    /** Calls of `take_due_counts` between messages without counts. */
     static constexpr unsigned idle_report_period = 4;
 
     quota_gate(const quota_overage& overage, std::uint64_t seed)
@@ -42,7 +42,7 @@
      * client may retry.
      */
     std::optional<duration>
-    ask(const client_account& account, std::size_t nodes, time_point now);
+    admit(const client_account& account, std::size_t nodes, time_point now);
 
     /** Reverses the count of an admitted call that reached no target. */
     void give_back(const client_account& account);
@@ -52,7 +52,7 @@
      * nothing if no message is due. Without counts or limits one is due at each
      * `idle_report_period`-th call, which shows whether a ledger is reachable.
      */
-    std::optional<std::vector<quota_counts>> take_due();
+    std::optional<std::vector<quota_counts>> take_due_counts();
 
     /** @return the counts since the last message, for a ledger. */
     std::vector<quota_counts> take_counts();
@@ -61,10 +61,10 @@
     void restore(const std::vector<quota_counts>& counts);
 
     /** Sets the limits that a ledger sent; other accounts have none. */
-    void told(const std::vector<quota_limit>& limits);
+    void set_limits(const std::vector<quota_limit>& limits);
 
     /** Records that no ledger answered. */
-    void unanswered(time_point now);
+    void note_unanswered(time_point now);
 
 private:
     bool is_cut_off(time_point now) const;
@@ -79,7 +79,7 @@
     std::map<std::string, quota_limit> m_limits;
     std::map<std::string, token_bucket> m_own_buckets; ///< while cut off
     std::optional<time_point> m_unanswered_since;
-    unsigned m_idle_calls = 0; ///< calls of `take_due` without counts
+    unsigned m_idle_calls = 0; ///< calls of `take_due_counts` without counts
     random_source m_random;
 };
 
--- a/include/tillerhall/quota/limit_news.hpp
+++ b/include/tillerhall/quota/quota_limit_changes.hpp
@@ -17,7 +17,7 @@
  * counts rarely, and many of them would each admit a call before they receive
  * the limit. Smaller changes go with the answers to counts. Does no I/O.
  */
-class limit_news
+class quota_limit_changes
 {
 public:
     /** @return whether @p limits must be announced now. Stores them, unless an
--- a/include/tillerhall/rollout/exposure_tickets.hpp
+++ b/include/tillerhall/rollout/exposure_permits.hpp
@@ -14,7 +14,7 @@
  * starts with an allowance. A counter per entry would be exact, but gives
  * nothing where each entry sees few calls of a service. Does no I/O.
  */
-class exposure_tickets
+class exposure_permits
 {
 public:
     /** Unused permits beyond this are dropped, so that no burst is sent to
@@ -30,7 +30,7 @@
             m_permits = std::min(m_permits + 1, max_permits);
     }
 
-    bool has_one() const noexcept { return m_permits > 0; }
+    bool has_permit() const noexcept { return m_permits > 0; }
 
     /** Uses a permit for a call to the canary release. */
     void take() noexcept
--- a/include/tillerhall/rollout/release_baseline.hpp
+++ b/include/tillerhall/rollout/release_baseline.hpp
@@ -13,8 +13,8 @@
 /** Latency thresholds of one class of work, as buckets of `run_counts`. */
 struct latency_thresholds
 {
-    std::size_t usual = run_counts::buckets - 1; ///< runs beyond it are slow
-    std::size_t tail = run_counts::buckets - 1;  ///< few runs are beyond it
+    std::size_t slow = run_counts::buckets - 1; ///< runs beyond it are slow
+    std::size_t tail = run_counts::buckets - 1; ///< few runs are beyond it
 };
 
 using thresholds_by_class = std::map<work_class, latency_thresholds>;
--- a/include/tillerhall/rollout/rollout_judge.hpp
+++ b/include/tillerhall/rollout/rollout_judge.hpp
@@ -32,9 +32,9 @@
 struct compared_class
 {
     work_class work;
-    run_counts fresh;
-    run_counts lately;
-    latency_thresholds cuts;
+    run_counts canary;
+    run_counts baseline;
+    latency_thresholds thresholds;
 };
 
 /** Judges one service's canary release, as one node sees it. Does no I/O. */
@@ -51,8 +51,8 @@
      * release bad whatever the tests of its targets say. */
     static constexpr double max_excess_bad_runs = 40;
 
-    rollout_judge(std::string settled, std::string canary)
-        : m_stable(std::move(settled))
+    rollout_judge(std::string stable, std::string canary)
+        : m_stable(std::move(stable))
         , m_canary(std::move(canary))
     {
     }
@@ -62,12 +62,12 @@
     bool take(const owner_report& report, time_point now);
 
     /** Adds a target that another node found regressed. */
-    void suspect(const std::string& target_id)
+    void add_regressed(const std::string& target_id)
     {
         m_regressed.insert(target_id);
     }
 
-    const std::set<std::string>& suspects() const noexcept
+    const std::set<std::string>& regressed_targets() const noexcept
     {
         return m_regressed;
     }
--- a/include/tillerhall/rollout/rollout_plan.hpp
+++ b/include/tillerhall/rollout/rollout_plan.hpp
@@ -24,20 +24,20 @@
  * @param exposure greatest share of calls for a release that is not yet shown
  * non-inferior; the first stages use half of it, which leaves room for the
  * later ones
- * @param settled_targets targets of the stable release; the number of canary
+ * @param stable_targets targets of the stable release; the number of canary
  * targets follows from it, so that each gets about the load of a stable one
  */
 stage_allowance
-allowance_of(rollout_stage stage, double exposure, std::size_t settled_targets);
+allowance_of(rollout_stage stage, double exposure, std::size_t stable_targets);
 
 /** The input of `next_move`. */
 struct rollout_progress
 {
     time_point stage_begun{}; ///< when this node entered the stage
-    stage_evidence seen;
-    bool settled_is_idle = false;
-    std::size_t settled_targets = 0; ///< live ones
-    std::size_t wanted_targets = 0;  ///< live canary targets
+    stage_evidence evidence;
+    bool stable_is_idle = false;
+    std::size_t stable_targets = 0; ///< live ones
+    std::size_t canary_targets = 0; ///< live canary targets
 };
 
 /** What a running roll-out does next. */
--- a/include/tillerhall/rollout/rollout_record.hpp
+++ b/include/tillerhall/rollout/rollout_record.hpp
@@ -24,13 +24,13 @@
     static constexpr std::size_t max_closed = 8;
 
     rollout_order order;
-    time_point begun{};  ///< when a node first saw the order
-    std::string settled; ///< stable release before it; empty if not known
+    time_point begun{}; ///< when a node first saw the order
+    std::string stable; ///< stable release before it; empty if not known
     rollout_state state = rollout_state::unread;
     rollout_stage stage = rollout_stage::spread;
     std::string reason; ///< of the state
     /** Ids of canary targets that do worse than the stable release. */
-    std::vector<std::string> suspects;
+    std::vector<std::string> regressed_targets;
     /** Releases that were rolled back or given up; they get no calls. */
     std::vector<std::string> closed;
 
--- a/include/tillerhall/rollout/rollout_view.hpp
+++ b/include/tillerhall/rollout/rollout_view.hpp
@@ -13,12 +13,12 @@
 {
 
 /** Which of a service's calls targets of one release may get. */
-enum class release_standing
+enum class release_status
 {
-    settled, ///< all that a canary does not get
-    trial,   ///< what the stage of its roll-out allows
-    guest,   ///< the least share: no order names the release
-    closed   ///< none
+    stable,    ///< all that a canary does not get
+    canary,    ///< what the stage of its roll-out allows
+    unordered, ///< the least share: no order names the release
+    closed     ///< none
 };
 
 /** An immutable snapshot of all roll-outs. */
@@ -32,13 +32,13 @@
     rollout_view() = default;
 
     /**
-     * @param settled stable releases of services without an order: the last
+     * @param stable stable releases of services without an order: the last
      * release that all targets of the service had
      * @param exposure see `allowance_of`
      */
-    rollout_view(by_service records, releases settled, double exposure)
+    rollout_view(by_service records, releases stable, double exposure)
         : m_records(std::move(records))
-        , m_stable(std::move(settled))
+        , m_stable(std::move(stable))
         , m_exposure(exposure)
     {
     }
@@ -49,20 +49,20 @@
     const by_service& records() const noexcept { return m_records; }
 
     /** @return the stable release of @p service; empty if not known. */
-    std::string settled(const std::string& service) const;
+    std::string stable(const std::string& service) const;
 
-    /** @param settled stable release of the service, as the caller decided */
-    release_standing standing(const std::string& service,
-                              const std::string& release,
-                              const std::string& settled) const;
+    /** @param stable stable release of the service, as the caller decided */
+    release_status status_of(const std::string& service,
+                             const std::string& release,
+                             const std::string& stable) const;
 
     /** @return whether @p release of @p service gets no calls. */
     bool is_closed(const std::string& service,
                    const std::string& release) const;
 
     /** @return what canary targets are allowed beside so many stable ones. */
-    stage_allowance terms(const std::string& service,
-                          std::size_t settled_targets) const;
+    stage_allowance allowance(const std::string& service,
+                              std::size_t stable_targets) const;
 
 private:
     by_service m_records;
--- a/include/tillerhall/rollout/stored_verdict.hpp
+++ b/include/tillerhall/rollout/stored_rollout_state.hpp
@@ -12,7 +12,7 @@
 
 /** The store's row on a roll-out's state, read by operators and by nodes that
  * start. */
-struct stored_verdict
+struct stored_rollout_state
 {
     std::string release;
     rollout_state state = rollout_state::running;
--- a/include/tillerhall/routing/admission.hpp
+++ b/include/tillerhall/routing/admission.hpp
@@ -98,7 +98,7 @@
 
     std::int64_t in_flight() const noexcept { return m_in_flight; }
     std::int64_t waiting() const noexcept { return m_waiting; }
-    std::int64_t most_in_flight() const noexcept { return m_most_in_flight; }
+    std::int64_t peak_in_flight() const noexcept { return m_peak_in_flight; }
     const admission_limits& limits() const noexcept { return m_limits; }
 
     /** @return running and waiting calls as a share of the slots. */
@@ -152,7 +152,7 @@
     unsigned m_grants = 0;
     std::int64_t m_in_flight = 0;
     std::int64_t m_waiting = 0;
-    std::int64_t m_most_in_flight = 0;
+    std::int64_t m_peak_in_flight = 0;
     duration m_mean_run{};
     int m_runs_counted = 0; ///< runs in the mean, at most `mean_runs`
 };
--- a/include/tillerhall/routing/cold_gate.hpp
+++ b/include/tillerhall/routing/cold_rate_limiter.hpp
@@ -19,12 +19,12 @@
  * process are not known, so a cold target gets none in the first second. Free
  * of I/O.
  */
-class cold_gate
+class cold_rate_limiter
 {
 public:
     static constexpr std::chrono::seconds window{1};
 
-    explicit cold_gate(time_point started) noexcept
+    explicit cold_rate_limiter(time_point started) noexcept
         : m_started(started)
     {
     }
--- a/include/tillerhall/routing/usual_budgets.hpp
+++ b/include/tillerhall/routing/deadline_budgets.hpp
@@ -18,7 +18,7 @@
  * the clients' deadline budget; the time that a call lacks has passed since its
  * first attempt. Free of I/O.
  */
-class usual_budgets
+class deadline_budgets
 {
 public:
     /** Long enough to include calls of a quiet route. */
@@ -33,7 +33,7 @@
         auto& seen = m_seen.try_emplace(work).first->second;
         auto& newest = seen.newest(now).longest;
         newest = std::max(newest, remaining);
-        return std::max(newest, seen.before(now).longest) - remaining;
+        return std::max(newest, seen.previous(now).longest) - remaining;
     }
 
 private:
--- a/include/tillerhall/routing/failure_shedder.hpp
+++ b/include/tillerhall/routing/failure_shedder.hpp
@@ -54,13 +54,14 @@
     /** @return the share of calls to shed at @p now. */
     double share(time_point now)
     {
-        const auto& before = m_counts.before(now);
+        const auto& previous = m_counts.previous(now);
         const auto& newest = m_counts.newest(now);
-        const double runs = newest.runs + before.runs;
-        const double failed = newest.failed + before.failed;
+        const double runs = newest.runs + previous.runs;
+        const double failed = newest.failed + previous.failed;
         const double failing = failed / std::max(least_runs, runs);
-        const double calls = newest.calls_failed + before.calls_failed;
-        const double lacking = newest.lacked_capacity + before.lacked_capacity;
+        const double calls = newest.calls_failed + previous.calls_failed;
+        const double lacking =
+            newest.lacked_capacity + previous.lacked_capacity;
         const double by_load = lacking / std::max(1.0, calls);
         return std::clamp((failing - chance_share) * by_load, 0.0, most_shed);
     }
--- a/include/tillerhall/routing/fleet_budget.hpp
+++ b/include/tillerhall/routing/fleet_retry_budget.hpp
@@ -9,7 +9,7 @@
 {
 
 /** The fleet-wide limit on retries, for each service and any window. */
-struct fleet_budget_limits
+struct fleet_retry_budget_limits
 {
     double ratio = 0.2; ///< retries for each call
     double extra = 10;  ///< retries beyond that, fleet-wide
@@ -26,7 +26,7 @@
  * calls. The bucket starts empty, so that repeated restarts of the fleet gain
  * nothing. Free of I/O; not thread-safe.
  */
-class fleet_budget
+class fleet_retry_budget
 {
 public:
     /**
@@ -37,7 +37,7 @@
     static constexpr double spent_part = 0.5;
 
     /** Counts a call of the service that began at this node. */
-    void call(const fleet_budget_limits& limits, std::size_t members);
+    void call(const fleet_retry_budget_limits& limits, std::size_t members);
 
     /**
      * Takes a token for one retry.
--- a/include/tillerhall/routing/load_inquiry.hpp
+++ b/include/tillerhall/routing/load_inquiry.hpp
@@ -12,12 +12,12 @@
 {
 
 /** What an entry knows of an owner that a call could go to. */
-struct owner_outlook
+struct owner_estimate
 {
     bool is_near = false;     ///< in the entry's own failure domain
     bool is_known = false;    ///< its last load report is recent
     bool has_room = false;    ///< by that report and the calls sent since
-    bool is_left_out = false; ///< already tried, or did not answer
+    bool is_excluded = false; ///< already tried, or did not answer
 };
 
 /**
@@ -64,16 +64,17 @@
     static constexpr double question_burst = 30;
 
     /**
-     * @param favourite index of the owner that the entry would choose without
+     * @param preferred index of the owner that the entry would choose without
      * queries. It is among those asked, since random owners alone would often
      * be slow ones.
      * @return the indexes in @p owners of those to ask; none if enough is known
      * or the rate of queries is used up.
      */
-    std::vector<std::size_t> whom_to_ask(std::span<const owner_outlook> owners,
-                                         std::size_t favourite,
-                                         time_point now,
-                                         random_source& random);
+    std::vector<std::size_t>
+    owners_to_ask(std::span<const owner_estimate> owners,
+                  std::size_t preferred,
+                  time_point now,
+                  random_source& random);
 
     /** Counts the answer of an owner that was asked. */
     void answered(bool is_full);
--- a/include/tillerhall/routing/suspect_calls.hpp
+++ b/include/tillerhall/routing/poison_calls.hpp
@@ -19,7 +19,7 @@
 {
 
 /** The quarantine of a poison call. */
-struct call_hold
+struct call_quarantine
 {
     milliseconds left{};        ///< until it may be probed; 0: now
     milliseconds since_crash{}; ///< since the last crash
@@ -33,7 +33,7 @@
      * at once, no run is left that could clear a popular call, and it would be
      * refused for the whole quarantine.
      */
-    bool may_be_tried(bool ran_well_before) const noexcept
+    bool may_be_probed(bool ran_well_before) const noexcept
     {
         return left == milliseconds::zero() ||
                (ran_well_before && rounds == 1 && since_crash >= first_probe);
@@ -44,7 +44,7 @@
 };
 
 /** The crashes under one call. */
-struct ends_under_call
+struct crashes_under_call
 {
     /** A crash of a target while the call ran there. */
     struct crash
@@ -52,7 +52,7 @@
         address owner; ///< of the target
         std::uint64_t at_ms = 0;
     };
-    std::vector<crash> ends;
+    std::vector<crash> crashes;
 };
 
 /**
@@ -72,17 +72,18 @@
  * Used by owners, which are the only way to their targets, and by entries,
  * which then refuse at once. Free of I/O.
  */
-class suspect_calls : public boost::intrusive_ref_counter<suspect_calls>
+class poison_calls : public boost::intrusive_ref_counter<poison_calls>
 {
 public:
     static constexpr std::size_t crashes_to_quarantine = 2;
     /** Quarantine after the first round; doubled after each further round. */
     static constexpr std::chrono::minutes first_quarantine{10};
     /** Upper limit of the quarantine. */
-    static constexpr std::chrono::hours longest_quarantine = news_kept;
+    static constexpr std::chrono::hours longest_quarantine =
+        crash_evidence_kept;
 
-    suspect_calls() = default;
-    explicit suspect_calls(const member_list& members);
+    poison_calls() = default;
+    explicit poison_calls(const member_list& members);
 
     /** @return true if no crash is known, so that no lookup is needed. */
     bool empty() const noexcept { return m_calls.empty(); }
@@ -96,19 +97,20 @@
      * whose reports may not have arrived yet
      * @param now_ms wall clock
      */
-    std::optional<call_hold> hold_of(const std::string& call,
-                                     const std::vector<address>& crashed_at,
-                                     std::uint64_t now_ms) const;
+    std::optional<call_quarantine>
+    quarantine_of(const std::string& call,
+                  const std::vector<address>& crashed_at,
+                  std::uint64_t now_ms) const;
 
     /** @return the calls quarantined now that were not in @p before. */
-    std::vector<std::string> newly_held(const suspect_calls& before,
-                                        std::uint64_t now_ms) const;
+    std::vector<std::string> newly_quarantined(const poison_calls& before,
+                                               std::uint64_t now_ms) const;
 
     /** @return the crashes under @p call; nullptr if there are none. */
-    const ends_under_call* find(const std::string& call) const;
+    const crashes_under_call* find(const std::string& call) const;
 
 private:
-    std::map<std::string, ends_under_call, std::less<>> m_calls;
+    std::map<std::string, crashes_under_call, std::less<>> m_calls;
 };
 
 /**
@@ -116,9 +118,9 @@
  * It is the same one at every node, so that copies of a call which arrive at
  * many nodes cost one target.
  */
-member_ptr trial_owner(const std::vector<member_ptr>& owners,
+member_ptr probe_owner(const std::vector<member_ptr>& owners,
                        const std::string& call);
 
-using suspect_calls_ptr = boost::intrusive_ptr<const suspect_calls>;
+using poison_calls_ptr = boost::intrusive_ptr<const poison_calls>;
 
 } // namespace tillerhall
--- a/include/tillerhall/routing/refusal_memory.hpp
+++ b/include/tillerhall/routing/refusal_cache.hpp
@@ -37,7 +37,7 @@
  * Kept by class of work, so that a refused read does not block a booking, and
  * separately for retries, which are refused earlier. Free of I/O.
  */
-class refusal_memory
+class refusal_cache
 {
 public:
     /**
--- a/include/tillerhall/routing/service_targets.hpp
+++ b/include/tillerhall/routing/service_targets.hpp
@@ -45,7 +45,7 @@
      * @return the canary targets of @p service; empty unless a roll-out is
      * under way.
      */
-    const canary_targets& on_trial(const std::string& service) const;
+    const canary_targets& canaries_of(const std::string& service) const;
 
     /**
      * @return the members in a planned stop whose targets still serve
--- a/include/tillerhall/routing/target_board.hpp
+++ b/include/tillerhall/routing/target_board.hpp
@@ -32,7 +32,7 @@
 };
 
 /** The load report that an owner sends with an answer. */
-struct owner_word
+struct load_report
 {
     std::optional<double> load; ///< running and waiting calls, as a share of
                                 ///< its slots
@@ -43,7 +43,7 @@
     /** Link time of the answers ahead of a new large one. */
     milliseconds link_backlog{0};
     /** True if the owner's processor is saturated. */
-    bool is_pressed = false;
+    bool is_saturated = false;
 };
 
 /** Where a call comes from and what it carries. */
@@ -60,7 +60,7 @@
 {
     call_verdict verdict = call_verdict::unknown;
     duration took{};
-    owner_word report; ///< sent by the owner with its answer
+    load_report report; ///< sent by the owner with its answer
     work_class work;
     std::size_t answer_bytes = 0; ///< size of the answer body; 0 unless
                                   ///< answered
@@ -128,10 +128,10 @@
      * Records the load report of an owner that was asked.
      * @param round_trip time between question and answer
      */
-    void told(const address& owner,
-              const owner_word& report,
-              duration round_trip,
-              time_point now);
+    void record_report(const address& owner,
+                       const load_report& report,
+                       duration round_trip,
+                       time_point now);
 
     /**
      * @return the time of a call on the link of @p to: the wait according to
@@ -141,8 +141,8 @@
     time_on_link(const member& to, const call_origin& from, time_point now);
 
     /** @return what is known of @p owner for a call @p from. */
-    owner_outlook
-    outlook(const member& owner, const call_origin& from, time_point now);
+    owner_estimate
+    estimate(const member& owner, const call_origin& from, time_point now);
 
     /** @return true if @p owner had a free slot by its last load report. */
     bool has_room(const address& owner);
@@ -196,7 +196,7 @@
                             const std::vector<address>& avoid,
                             time_point now);
     static void
-    take_report(record& target, const owner_word& report, time_point now);
+    take_report(record& target, const load_report& report, time_point now);
     record& record_of(const address& owner, time_point now);
     static bool has_free_slot(const record& target);
     target_stats stats_of(const record& target, time_point now) const;
--- a/include/tillerhall/routing/body_grants.hpp
+++ b/include/tillerhall/routing/transfer_slots.hpp
@@ -20,7 +20,7 @@
  * count at the link's rate from the moment of the grant, whether they have been
  * sent or not (virtual scheduling, as in ITU-T I.371). Free of I/O.
  */
-class body_grants
+class transfer_slots
 {
 public:
     /**
@@ -39,7 +39,7 @@
     /**
      * @param mbps rate of the host's link; 0 if unknown: every claim is granted
      */
-    explicit body_grants(double mbps)
+    explicit transfer_slots(double mbps)
         : m_link(mbps * granted_share)
     {
     }
--- a/include/tillerhall/targets/target_register.hpp
+++ b/include/tillerhall/targets/target_registry.hpp
@@ -27,16 +27,16 @@
 /**
  * The targets that have reported to this boot of the node.
  *
- * A start of a target that has left never returns; a later start under the same
- * id is a new target. The reports of a start are ordered by their sequence, so
- * a late report never revives anything; of two starts under one id the later
- * one is in use. Among different ids the one whose first report came last is in
- * use; an older one takes over again only with a sequence that it has not used.
- * No target is in use before `departures_known`: after a restart the node must
- * not trust a report that may be older than a departure which its earlier boot
- * acknowledged. Free of I/O.
+ * A start of a target that has left never returns; a later start under the
+ * same id is a new target. The reports of a start are ordered by their
+ * sequence, so a late report never revives anything; of two starts under one id
+ * the later one is in use. Among different ids the one whose first report came
+ * last is in use; an older one takes over again only with a sequence that it
+ * has not used. No target is in use before `departures_known`: after a restart
+ * the node must not trust a report that may be older than a departure which its
+ * earlier boot acknowledged. Free of I/O.
  */
-class target_register
+class target_registry
 {
 public:
     /**
@@ -52,17 +52,17 @@
      * record.
      * @return true if it was in use until now.
      */
-    bool mark_left(const std::string& start);
+    bool record_departure(const std::string& start);
 
     /**
      * To be called when the departure records of earlier boots have been read.
      */
-    void set_marks_known() noexcept { m_departures_known = true; }
+    void set_departures_known() noexcept { m_departures_known = true; }
     bool departures_known() const noexcept { return m_departures_known; }
 
     /** @return the starts that have left, the newest last. */
-    const std::vector<std::string>& left() const noexcept { return m_left; }
-    bool has_left(const std::string& start) const;
+    const std::vector<std::string>& departed() const noexcept { return m_left; }
+    bool has_departed(const std::string& start) const;
 
     /** @return the target that takes work, or null. */
     const target_report* in_use() const noexcept;
@@ -81,7 +81,7 @@
      * Takes the target for cold until its next report, for @p span at most: it
      * may have become cold while nothing was sent to it.
      */
-    void suppose_cold(duration span, time_point now) noexcept
+    void assume_cold(duration span, time_point now) noexcept
     {
         m_cold_until = std::max(m_cold_until, now + span);
     }
--- a/src/control/directory_controller.cpp
+++ b/src/control/directory_controller.cpp
@@ -32,7 +32,7 @@
            row.caller == self.caller && row.operators == self.operators &&
            row.place == self.place && row.service == self.service &&
            row.link_mbps == self.link_mbps &&
-           row.target_ends == self.target_ends &&
+           row.target_crashes == self.target_crashes &&
            row.good_runs == self.good_runs &&
            std::ranges::all_of(self.left_targets,
                                [&](const std::string& id) {
@@ -172,7 +172,7 @@
         else
             records.push_back(*read);
     }
-    m_membership.learn(records);
+    m_membership.merge_stored(records);
 }
 
 void directory_controller::merge_own_row(const stored_row& row,
@@ -184,7 +184,7 @@
     m_stored = record;
     // Adopts the departure records of earlier boots and raises the incarnation
     // above theirs.
-    m_membership.learn({record});
+    m_membership.merge_stored({record});
 }
 
 bool directory_controller::should_follow() const
--- a/src/control/drain_book.cpp
+++ b/src/control/drain_registry.cpp
@@ -1,11 +1,11 @@
-#include "tillerhall/control/drain_book.hpp"
+#include "tillerhall/control/drain_registry.hpp"
 
 #include <boost/json.hpp>
 
 namespace tillerhall
 {
 
-void drain_book::rows_seen(const row_page& page, bool is_whole)
+void drain_registry::apply_rows(const row_page& page, bool is_whole)
 {
     if (!m_decode)
         return;
@@ -26,14 +26,14 @@
     set(std::move(domains), page.revision);
 }
 
-void drain_book::heard(const std::set<std::string>& domains,
-                       std::uint64_t revision)
+void drain_registry::apply_update(const std::set<std::string>& domains,
+                                  std::uint64_t revision)
 {
     if (revision > m_mesh.board.drains.get()->revision())
         set(domains, revision);
 }
 
-void drain_book::set(std::set<std::string> domains, std::uint64_t revision)
+void drain_registry::set(std::set<std::string> domains, std::uint64_t revision)
 {
     const auto before = m_mesh.board.drains.get();
     const domain_drains_ptr next(
--- a/src/control/quota_controller.cpp
+++ b/src/control/quota_controller.cpp
@@ -33,7 +33,7 @@
     auto& server = m_mesh.server;
     server.add(method::quota_counts, traffic_kind::watch,
                [this](const json::object& p) { return on_counts(p); });
-    server.add(method::quota_sums, traffic_kind::watch,
+    server.add(method::quota_totals, traffic_kind::watch,
                [this](const json::object& p) { return on_totals(p); });
     server.add(method::quota_limits, traffic_kind::delta,
                [this](const json::object& p) { return on_limits(p); });
@@ -75,7 +75,7 @@
         sleep_for(m_mesh.on.io(), report_interval());
         if (m_mesh.board.call_map.get()->accounts() == nullptr)
             continue;
-        if (const auto counts = m_gate.take_due())
+        if (const auto counts = m_gate.take_due_counts())
             report(*counts);
     }
 }
@@ -85,7 +85,7 @@
     for (const auto& ledger : ledgers())
     {
         if (ledger == m_mesh.members.self().rpc)
-            return m_gate.told(add_counts(counts));
+            return m_gate.set_limits(add_counts(counts));
         const auto answer = m_mesh.pool.call(
             {ledger, traffic_kind::watch, method::quota_counts,
              json::object{{"c", to_json(counts)}}, call_timeout});
@@ -93,7 +93,7 @@
             continue;
         try
         {
-            return m_gate.told(quota_limits_from_json(answer->at("l")));
+            return m_gate.set_limits(quota_limits_from_json(answer->at("l")));
         }
         catch (const std::exception&)
         {
@@ -101,7 +101,7 @@
         }
     }
     m_gate.restore(counts);
-    m_gate.unanswered(steady_clock::now());
+    m_gate.note_unanswered(steady_clock::now());
 }
 
 void quota_controller::refresh_accounts()
@@ -176,7 +176,7 @@
                 [this, ledger, params]
                 {
                     m_mesh.pool.call({ledger, traffic_kind::watch,
-                                      method::quota_sums, params,
+                                      method::quota_totals, params,
                                       call_timeout});
                 });
 }
@@ -187,7 +187,7 @@
     const auto limits = m_ledger.limits(now);
     if (!m_limit_changes.take(limits, now))
         return;
-    m_gate.told(limits);
+    m_gate.set_limits(limits);
     send_limits(limits, domain_range(m_mesh.members.self()));
 }
 
@@ -213,7 +213,7 @@
         return {{"e", name_of(error_code::invalid_argument)},
                 {"d", "not this node's range"}};
     send_limits(limits, range);
-    m_gate.told(limits);
+    m_gate.set_limits(limits);
     return {};
 }
 
--- a/src/control/report_controller.cpp
+++ b/src/control/report_controller.cpp
@@ -15,7 +15,7 @@
 constexpr unsigned peers_needed = 2;
 constexpr std::size_t peers_asked = 5;
 
-target_state state_of(const target_register& targets, bool is_up)
+target_state state_of(const target_registry& targets, bool is_up)
 {
     if (targets.in_use() == nullptr)
         return target_state::draining;
@@ -27,7 +27,7 @@
 report_controller::report_controller(mesh_state& mesh,
                                      membership_controller& membership,
                                      directory_controller& directory,
-                                     target_register& targets,
+                                     target_registry& targets,
                                      target_owner& owner)
     : m_mesh(mesh)
     , m_membership(membership)
@@ -40,13 +40,13 @@
 void report_controller::apply_departures()
 {
     for (const auto& id : m_mesh.members.self().left_targets)
-        m_targets.mark_left(id);
+        m_targets.record_departure(id);
 }
 
-void report_controller::marks_loaded()
+void report_controller::departures_loaded()
 {
     apply_departures();
-    m_targets.set_marks_known();
+    m_targets.set_departures_known();
     m_owner.target_changed();
     announce();
 }
@@ -55,11 +55,11 @@
 {
     auto self = m_mesh.members.self();
     self.target_is = state_of(m_targets, m_owner.is_target_up());
-    self.left_targets = m_targets.left();
-    if (const auto& end = m_owner.last_end())
-        add_target_ends(self, {*end});
+    self.left_targets = m_targets.departed();
+    if (const auto& end = m_owner.last_crash())
+        add_target_crashes(self, {*end});
     add_good_runs(self, m_owner.good_runs());
-    forget_news(self, wall_clock_ms() - to_ms(news_kept));
+    forget_crash_evidence(self, wall_clock_ms() - to_ms(crash_evidence_kept));
     if (const auto* target = m_targets.in_use())
     {
         self.target_id = target->start();
@@ -71,13 +71,13 @@
     m_mesh.board.decisions.note("target_changed", self.target_id,
                                 std::string(name_of(self.target_is)),
                                 {{"left", self.left_targets.size()},
-                                 {"ends", self.target_ends.size()},
+                                 {"ends", self.target_crashes.size()},
                                  {"good_runs", self.good_runs.size()}});
     m_membership.announce_self(self);
     m_directory.own_record_changed();
 }
 
-void report_controller::tell_news()
+void report_controller::announce_changes()
 {
     m_mesh.on.spawn([this] { announce(); });
 }
@@ -93,7 +93,7 @@
             {{"target", report.start()},
              {"reason", "stale"},
              {"sequence", report.sequence},
-             {"left", m_targets.has_left(report.start())}});
+             {"left", m_targets.has_departed(report.start())}});
         return true;
     }
     if (report.state == report_state::ready)
@@ -138,8 +138,9 @@
                                   { return each.place != own.place; });
     peers.resize(std::min(peers.size(), peers_asked));
     for (const auto& each : peers)
-        m_mesh.on.spawn([this, copies, peer = each.rpc]
-                        { *copies += m_membership.tell(peer) ? 1 : 0; });
+        m_mesh.on.spawn(
+            [this, copies, peer = each.rpc]
+            { *copies += m_membership.send_self_record(peer) ? 1 : 0; });
 }
 
 } // namespace tillerhall
--- a/src/control/rollout_api.cpp
+++ b/src/control/rollout_api.cpp
@@ -49,9 +49,9 @@
 
 } // namespace
 
-rollout_api::rollout_api(rollout_book& registry,
+rollout_api::rollout_api(rollout_registry& registry,
                          rollout_decider& decider,
-                         rollout_keeper& store_sync,
+                         rollout_store_sync& store_sync,
                          std::string token)
     : m_registry(registry)
     , m_decider(decider)
@@ -66,7 +66,7 @@
         return std::nullopt;
     if (request.method == "GET")
         return respond(200, json::object{{"rollouts", m_decider.describe()}});
-    if (!brings_token(request, m_token))
+    if (!has_valid_token(request, m_token))
         return respond(error(error_code::unauthorized,
                              "a change of roll-outs needs the token"));
     if (request.method == "POST")
@@ -87,13 +87,13 @@
     const auto service = request.param("service");
     const auto* known = m_registry.find(service);
     if (known == nullptr || known->state != rollout_state::running ||
-        known->settled.empty())
+        known->stable.empty())
         return respond(error(error_code::conflict,
                              "no roll-out of \"" + service +
                                  "\" runs that could be taken back",
                              "see tiller rollout"));
     auto back = known->order;
-    back.release = known->settled;
+    back.release = known->stable;
     return submit(back);
 }
 
--- a/src/control/rollout_decider.cpp
+++ b/src/control/rollout_decider.cpp
@@ -40,13 +40,13 @@
     : revision(record.order.revision)
     , stage(record.stage)
     , stage_begun(now)
-    , judge(record.settled, record.order.release)
+    , judge(record.stable, record.order.release)
 {
 }
 
 rollout_decider::rollout_decider(mesh_state& mesh,
-                                 rollout_book& registry,
-                                 rollout_keeper& store_sync,
+                                 rollout_registry& registry,
+                                 rollout_store_sync& store_sync,
                                  std::function<bool()> is_reader)
     : m_mesh(mesh)
     , m_registry(registry)
@@ -95,8 +95,8 @@
         current.stage_begun = now;
         current.judge.begin_stage();
     }
-    for (const auto& each : record.suspects)
-        current.judge.suspect(each);
+    for (const auto& each : record.regressed_targets)
+        current.judge.add_regressed(each);
     return current;
 }
 
@@ -115,9 +115,9 @@
 
 std::string rollout_decider::rollback_reason(const evaluation& current) const
 {
-    std::string why = std::to_string(current.judge.suspects().size()) +
+    std::string why = std::to_string(current.judge.regressed_targets().size()) +
                       " of its targets do worse than those before";
-    for (const auto& each : current.judge.suspects())
+    for (const auto& each : current.judge.regressed_targets())
         if (const auto reason = current.judge.reason_of(each); !reason.empty())
             return why + "; " + each + ": " + reason;
     return why;
@@ -127,7 +127,7 @@
 {
     const auto* record = m_registry.find(report.service);
     if (record == nullptr || record->state != rollout_state::running ||
-        record->settled.empty())
+        record->stable.empty())
         return;
     auto& current = evaluation_of(*record);
     current.last_report = steady_clock::now();
@@ -138,7 +138,7 @@
         current.judge.reason_of(report.target_id),
         {{"target", report.target_id}, {"owner", report.owner.text()}});
     auto next = *record;
-    next.suspects.push_back(report.target_id);
+    next.regressed_targets.push_back(report.target_id);
     m_registry.merge_and_broadcast(next, "decided here");
     decide(*m_registry.find(report.service));
 }
@@ -175,19 +175,19 @@
 {
     const auto now = steady_clock::now();
     const auto& service = record.order.service;
-    const auto stable_owners = owners_of(service, record.settled);
+    const auto stable_owners = owners_of(service, record.stable);
     const auto canary_owners = owners_of(service, record.order.release);
-    if (record.settled == record.order.release && !canary_owners.empty())
+    if (record.stable == record.order.release && !canary_owners.empty())
     {
         m_store_sync.complete(record); // the release is stable already
         return;
     }
     const rollout_progress progress{
         .stage_begun = current.stage_begun,
-        .seen = current.judge.evidence(),
-        .settled_is_idle = current.judge.is_idle(stable_owners, now),
-        .settled_targets = stable_owners.size(),
-        .wanted_targets = canary_owners.size()};
+        .evidence = current.judge.evidence(),
+        .stable_is_idle = current.judge.is_idle(stable_owners, now),
+        .stable_targets = stable_owners.size(),
+        .canary_targets = canary_owners.size()};
     switch (next_move(record, progress, now))
     {
     case rollout_move::wait:
@@ -219,16 +219,16 @@
         classes.push_back(json::object{
             {"kind", name_of(each.work.kind)},
             {"rank", each.work.rank},
-            {"runs", each.fresh.ended},
-            {"failed", each.fresh.failed},
-            {"timed", each.fresh.timed()},
-            {"slow", each.fresh.longer_than(each.cuts.usual)},
-            {"in_tail", each.fresh.longer_than(each.cuts.tail)},
-            {"old_timed", each.lately.timed()},
-            {"old_slow", each.lately.longer_than(each.cuts.usual)},
-            {"old_in_tail", each.lately.longer_than(each.cuts.tail)},
-            {"took", json::value_from(each.fresh.took)},
-            {"old_took", json::value_from(each.lately.took)}});
+            {"runs", each.canary.ended},
+            {"failed", each.canary.failed},
+            {"timed", each.canary.timed()},
+            {"slow", each.canary.longer_than(each.thresholds.slow)},
+            {"in_tail", each.canary.longer_than(each.thresholds.tail)},
+            {"old_timed", each.baseline.timed()},
+            {"old_slow", each.baseline.longer_than(each.thresholds.slow)},
+            {"old_in_tail", each.baseline.longer_than(each.thresholds.tail)},
+            {"took", json::value_from(each.canary.took)},
+            {"old_took", json::value_from(each.baseline.took)}});
     m_mesh.board.decisions.note(
         "rollout_step", record.order.service,
         std::string(name_of(record.stage)),
@@ -286,13 +286,13 @@
         json::object described{
             {"service", service},
             {"release", record.order.release},
-            {"before", record.settled},
+            {"before", record.stable},
             {"state", name_of(record.state)},
             {"stage", name_of(record.stage)},
             {"reason", record.reason},
             {"age_ms", to_ms(steady_clock::now() - record.begun)},
             {"time_ms", record.order.time.count()},
-            {"suspects", json::value_from(record.suspects)},
+            {"suspects", json::value_from(record.regressed_targets)},
             {"closed", json::value_from(record.closed)}};
         const auto found = m_evaluations.find(service);
         json::array evidence;
@@ -301,7 +301,7 @@
         {
             const auto& judge = found->second.judge;
             const auto before = judge.baseline();
-            add_evidence(evidence, record.settled, before.counts());
+            add_evidence(evidence, record.stable, before.counts());
             add_evidence(evidence, record.order.release, judge.stage_counts());
         }
         described["evidence"] = std::move(evidence);
--- a/src/control/rollout_book.cpp
+++ b/src/control/rollout_registry.cpp
@@ -1,4 +1,4 @@
-#include "tillerhall/control/rollout_book.hpp"
+#include "tillerhall/control/rollout_registry.hpp"
 
 #include "tillerhall/node/messages.hpp"
 #include "tillerhall/node/range_send.hpp"
@@ -35,34 +35,34 @@
 
 } // namespace
 
-rollout_book::rollout_book(mesh_state& mesh)
+rollout_registry::rollout_registry(mesh_state& mesh)
     : m_mesh(mesh)
 {
     publish(); // applies the exposure of the settings from the start
 }
 
-void rollout_book::add_methods()
+void rollout_registry::add_methods()
 {
     m_mesh.server.add(method::rollouts, traffic_kind::delta,
                       [this](const json::object& p) { return on_rollouts(p); });
-    m_mesh.rollouts_told = [this] { return recent(); };
-    m_mesh.rollouts_heard = [this](const std::vector<rollout_record>& records)
+    m_mesh.rollouts_to_send = [this] { return recent(); };
+    m_mesh.on_rollouts = [this](const std::vector<rollout_record>& records)
     { merge_records(records); };
 }
 
-void rollout_book::on_change(std::function<void()> action)
+void rollout_registry::on_change(std::function<void()> action)
 {
     m_on_change.push_back(std::move(action));
 }
 
-const rollout_record* rollout_book::find(const std::string& service) const
+const rollout_record* rollout_registry::find(const std::string& service) const
 {
     const auto found = m_records.find(service);
     return found == m_records.end() ? nullptr : &found->second;
 }
 
-bool rollout_book::merge_record(const rollout_record& offered,
-                                const std::string& from)
+bool rollout_registry::merge_record(const rollout_record& offered,
+                                    const std::string& from)
 {
     const auto& service = offered.order.service;
     const auto [known, is_new] = m_records.try_emplace(service, offered);
@@ -84,15 +84,15 @@
         {{"release", now.order.release},
          {"state", name_of(now.state)},
          {"stage", name_of(now.stage)},
-         {"settled", now.settled},
-         {"suspects", json::value_from(now.suspects)},
+         {"settled", now.stable},
+         {"suspects", json::value_from(now.regressed_targets)},
          {"age_ms", to_ms(steady_clock::now() - now.begun)},
          {"from", from}});
     return true;
 }
 
-void rollout_book::merge_and_broadcast(const rollout_record& offered,
-                                       const char* from)
+void rollout_registry::merge_and_broadcast(const rollout_record& offered,
+                                           const char* from)
 {
     if (!merge_record(offered, from))
         return;
@@ -101,7 +101,7 @@
     publish();
 }
 
-void rollout_book::merge_records(const std::vector<rollout_record>& offered)
+void rollout_registry::merge_records(const std::vector<rollout_record>& offered)
 {
     bool changed = false;
     for (const auto& each : offered)
@@ -112,7 +112,7 @@
     publish();
 }
 
-std::vector<rollout_record> rollout_book::recent() const
+std::vector<rollout_record> rollout_registry::recent() const
 {
     std::vector<rollout_record> selected;
     for (const auto& [service, record] : m_records)
@@ -122,13 +122,13 @@
     return selected;
 }
 
-void rollout_book::note_members()
+void rollout_registry::update_stable_releases()
 {
     note_sole_releases();
     fill_stable_release();
 }
 
-void rollout_book::note_sole_releases()
+void rollout_registry::note_sole_releases()
 {
     bool changed = false;
     const auto now = steady_clock::now();
@@ -150,17 +150,17 @@
         publish();
 }
 
-void rollout_book::fill_stable_release()
+void rollout_registry::fill_stable_release()
 {
     for (auto& [service, record] : m_records)
     {
-        if (!record.settled.empty())
+        if (!record.stable.empty())
             continue;
         const auto known = m_stable.find(service);
         if (known != m_stable.end() && !known->second.empty() &&
             !is_closed(record, known->second))
         {
-            record.settled = known->second;
+            record.stable = known->second;
             continue;
         }
         std::size_t most = 0;
@@ -172,13 +172,13 @@
             if (count > most && release != record.order.release &&
                 !is_closed(record, release))
             {
-                record.settled = release;
+                record.stable = release;
                 most = count;
             }
     }
 }
 
-void rollout_book::publish()
+void rollout_registry::publish()
 {
     m_mesh.board.rollouts.set(rollout_view_ptr(
         new rollout_view(m_records, m_stable, m_mesh.config.exposure_share)));
@@ -186,8 +186,8 @@
         action();
 }
 
-void rollout_book::broadcast(const std::vector<rollout_record>& records,
-                             const key_range& range)
+void rollout_registry::broadcast(const std::vector<rollout_record>& records,
+                                 const key_range& range)
 {
     send_to_range(m_mesh,
                   {method::rollouts, traffic_kind::delta, broadcast_timeout,
@@ -197,7 +197,7 @@
                   range);
 }
 
-json::object rollout_book::on_rollouts(const json::object& params)
+json::object rollout_registry::on_rollouts(const json::object& params)
 {
     const auto message = rollouts_message_from_json(params);
     if (!is_meant_for(m_mesh.members.self(), message.range))
--- a/src/control/rollout_reporter.cpp
+++ b/src/control/rollout_reporter.cpp
@@ -45,9 +45,9 @@
 } // namespace
 
 rollout_reporter::rollout_reporter(mesh_state& mesh,
-                                   rollout_book& registry,
+                                   rollout_registry& registry,
                                    rollout_decider& decider,
-                                   const target_register& targets,
+                                   const target_registry& targets,
                                    const target_owner& owner)
     : m_mesh(mesh)
     , m_registry(registry)
@@ -86,8 +86,8 @@
     if (target.release == record.order.release)
         return (is_early_stage || m_tick % ticks_many_canaries == 0) &&
                (m_reported_target != target.start() ||
-                m_reported_taken != m_owner.evidence().taken_count());
-    if (target.release != record.settled)
+                m_reported_taken != m_owner.run_stats().started_count());
+    if (target.release != record.stable)
         return false;
     if (is_last_stage)
         return m_tick % ticks_many_canaries == 0;
@@ -103,9 +103,10 @@
     report.boot = m_boot;
     report.target_id = target.start();
     report.release = target.release;
-    report.running = static_cast<std::uint32_t>(m_owner.places().in_flight());
-    report.taken = m_owner.evidence().taken_count();
-    report.counts = m_owner.evidence().counts();
+    report.running =
+        static_cast<std::uint32_t>(m_owner.admission().in_flight());
+    report.taken = m_owner.run_stats().started_count();
+    report.counts = m_owner.run_stats().counts();
     return report;
 }
 
--- a/src/control/rollout_keeper.cpp
+++ b/src/control/rollout_store_sync.cpp
@@ -1,4 +1,4 @@
-#include "tillerhall/control/rollout_keeper.hpp"
+#include "tillerhall/control/rollout_store_sync.hpp"
 
 #include <algorithm>
 #include <boost/json.hpp>
@@ -21,11 +21,11 @@
 
 } // namespace
 
-rollout_keeper::rollout_keeper(mesh_state& mesh,
-                               rollout_book& registry,
-                               row_store& store,
-                               rollout_source source,
-                               std::function<bool()> reads_for_others)
+rollout_store_sync::rollout_store_sync(mesh_state& mesh,
+                                       rollout_registry& registry,
+                                       row_store& store,
+                                       rollout_source source,
+                                       std::function<bool()> reads_for_others)
     : m_mesh(mesh)
     , m_registry(registry)
     , m_store(store)
@@ -34,12 +34,12 @@
 {
 }
 
-void rollout_keeper::start()
+void rollout_store_sync::start()
 {
     m_mesh.on.spawn([this] { sync_loop(); });
 }
 
-void rollout_keeper::rows_seen(const std::vector<stored_row>& rows)
+void rollout_store_sync::apply_rows(const std::vector<stored_row>& rows)
 {
     if (!m_source.decode_order)
         return;
@@ -58,7 +58,7 @@
     }
 }
 
-void rollout_keeper::apply_order(const rollout_order& order)
+void rollout_store_sync::apply_order(const rollout_order& order)
 {
     auto& seen = m_orders[order.service];
     if (order.revision <= seen)
@@ -70,7 +70,7 @@
     m_mesh.on.spawn([this, service = order.service] { sync(service); });
 }
 
-void rollout_keeper::sync_loop()
+void rollout_store_sync::sync_loop()
 {
     while (true)
     {
@@ -85,12 +85,12 @@
     }
 }
 
-bool rollout_keeper::may_write(const std::string& service) const
+bool rollout_store_sync::may_write(const std::string& service) const
 {
     return m_decided_here.contains(service) || m_reads_for_others();
 }
 
-void rollout_keeper::sync(const std::string& service)
+void rollout_store_sync::sync(const std::string& service)
 {
     const auto* record = m_registry.find(service);
     if (record == nullptr)
@@ -116,9 +116,9 @@
         write(*record, record->state);
 }
 
-bool rollout_keeper::read_state(const std::string& service)
+bool rollout_store_sync::read_state(const std::string& service)
 {
-    const auto name = m_source.verdict_row(service);
+    const auto name = m_source.state_row(service);
     const auto page = m_store.read(name.table, name.part, name.key);
     if (!page)
         return false;
@@ -126,10 +126,10 @@
     if (known == nullptr)
         return false;
     const auto row = std::ranges::find(page->rows, name, &stored_row::name);
-    stored_verdict read;
+    stored_rollout_state read;
     if (row != page->rows.end() && !row->removed)
     {
-        const auto decoded = m_source.decode_verdict(*row);
+        const auto decoded = m_source.decode_state(*row);
         if (decoded)
             read = *decoded;
         else
@@ -142,8 +142,8 @@
     return true;
 }
 
-void rollout_keeper::apply_state(const rollout_record& known,
-                                 const stored_verdict& read)
+void rollout_store_sync::apply_state(const rollout_record& known,
+                                     const stored_rollout_state& read)
 {
     auto next = known;
     // A state written before the order belongs to an earlier order.
@@ -165,7 +165,7 @@
     merge_stored(next);
 }
 
-void rollout_keeper::merge_stored(const rollout_record& read)
+void rollout_store_sync::merge_stored(const rollout_record& read)
 {
     if (may_write(read.order.service))
         m_registry.merge_and_broadcast(read, "store");
@@ -173,18 +173,19 @@
         m_registry.merge_records({read});
 }
 
-bool rollout_keeper::write(const rollout_record& record, rollout_state state)
+bool rollout_store_sync::write(const rollout_record& record,
+                               rollout_state state)
 {
     const auto& service = record.order.service;
     const auto age = steady_clock::now() - record.begun;
-    stored_verdict verdict;
+    stored_rollout_state verdict;
     verdict.release = record.order.release;
     verdict.state = state;
     verdict.begun_ms = wall_clock_ms() - static_cast<std::uint64_t>(to_ms(age));
     const auto expected = m_stored[service].revision;
     const auto outcome =
-        m_store.write({m_source.verdict_row(service), expected,
-                       m_source.encode_verdict(service, verdict)});
+        m_store.write({m_source.state_row(service), expected,
+                       m_source.encode_state(service, verdict)});
     if (outcome && outcome->written)
     {
         verdict.revision = outcome->revision;
@@ -201,7 +202,8 @@
     return false;
 }
 
-result<std::uint64_t> rollout_keeper::store_order(const rollout_order& order)
+result<std::uint64_t>
+rollout_store_sync::store_order(const rollout_order& order)
 {
     const auto name = m_source.order_row(order.service);
     const auto page = m_store.read(name.table, name.part, name.key);
@@ -223,7 +225,7 @@
     return taken.revision;
 }
 
-bool rollout_keeper::complete(const rollout_record& record)
+bool rollout_store_sync::complete(const rollout_record& record)
 {
     const auto& service = record.order.service;
     if (!m_stored.contains(service) && !read_state(service))
--- a/src/control/route_controller.cpp
+++ b/src/control/route_controller.cpp
@@ -65,9 +65,10 @@
 {
     m_mesh.server.add(method::routes, traffic_kind::snapshot,
                       [this](const json::object& p) { return on_routes(p); });
-    m_mesh.server.add(method::routes_word, traffic_kind::delta,
+    m_mesh.server.add(method::routes_update, traffic_kind::delta,
                       [this](const json::object& p) { return on_update(p); });
-    m_mesh.routes_heard = [this](std::uint64_t version, const address& peer)
+    m_mesh.on_routes_version =
+        [this](std::uint64_t version, const address& peer)
     { on_newer_version(version, peer, peer_grace); };
 }
 
@@ -89,13 +90,13 @@
         {{"version", m_mesh.board.call_map.get()->version()}});
 }
 
-void route_controller::note_role(store_duty now)
+void route_controller::note_role(store_role now)
 {
     if (now == m_last_role)
         return;
-    const auto name = [](store_duty role)
+    const auto name = [](store_role role)
     { return role_names[static_cast<std::size_t>(role)]; };
-    const auto gauge = [&](store_duty role) -> auto&
+    const auto gauge = [&](store_role role) -> auto&
     {
         return m_mesh.board.metrics.get("tillerhall_store_duty",
                                         "duty=\"" + std::string(name(role)) +
@@ -111,7 +112,7 @@
     m_last_role = now;
 }
 
-store_duty route_controller::duty() const
+store_role route_controller::role() const
 {
     const auto now = steady_clock::now();
     const auto rank = now < m_started + membership_grace
@@ -125,9 +126,9 @@
     auto next = step::read;
     while (true)
     {
-        const auto now = duty();
+        const auto now = role();
         note_role(now);
-        const bool is_listening = now == store_duty::listen && known();
+        const bool is_listening = now == store_role::listen && known();
         next = is_listening ? listen() : ask_store(next);
     }
 }
@@ -151,7 +152,7 @@
         // newest only, so it is read after a pause.
         m_waits.reset();
         sleep_for(m_mesh.on.io(),
-                  duty() == store_duty::speak ? reader_pause : poller_pause);
+                  role() == store_role::announce ? reader_pause : poller_pause);
         return step::read;
     case outcome::unchanged:
         m_waits.reset();
@@ -179,14 +180,14 @@
         return outcome::failed;
     note_answer(page->revision, time_point::max());
     const auto applied = apply_last(*page, !page->more);
-    speak();
+    announce();
     return applied;
 }
 
 route_controller::outcome route_controller::follow_once()
 {
     const duration wait =
-        duty() == store_duty::speak ? reader_feed_wait : poller_feed_wait;
+        role() == store_role::announce ? reader_feed_wait : poller_feed_wait;
     const auto begin = steady_clock::now();
     const auto page = m_store.follow(m_source.row.table, m_revision, wait);
     if (!page && page.reason().code() == error_code::history_lost)
@@ -196,7 +197,7 @@
         return outcome::failed;
     note_answer(page->revision, begin + wait + answer_margin);
     const auto applied = apply_last(*page, false);
-    speak();
+    announce();
     return applied;
 }
 
@@ -298,12 +299,12 @@
     return {{"c", m_packed}};
 }
 
-void route_controller::speak()
+void route_controller::announce()
 {
-    if (!known() || duty() != store_duty::speak)
+    if (!known() || role() != store_role::announce)
         return;
     const auto version = m_mesh.board.call_map.get()->version();
-    routes_word update;
+    routes_update update;
     update.reader = m_mesh.members.self().rpc.text();
     update.rank = reader_rank(m_mesh.members);
     update.version = version;
@@ -317,11 +318,11 @@
     forward(update);
 }
 
-void route_controller::forward(const routes_word& update)
+void route_controller::forward(const routes_update& update)
 {
     const auto received = steady_clock::now();
     send_to_range(m_mesh,
-                  {method::routes_word, traffic_kind::delta, update_timeout,
+                  {method::routes_update, traffic_kind::delta, update_timeout,
                    [update, received](const key_range& part)
                    {
                        auto sent = update;
@@ -335,7 +336,7 @@
 
 json::object route_controller::on_update(const json::object& params)
 {
-    const auto update = routes_word_from_json(params);
+    const auto update = routes_update_from_json(params);
     const auto reader = address::parse(update.reader);
     if (!reader)
         return {{"e", name_of(reader.reason().code())},
--- a/src/control/routes_word.cpp
+++ b/src/control/routes_update.cpp
@@ -1,4 +1,4 @@
-#include "tillerhall/control/routes_word.hpp"
+#include "tillerhall/control/routes_update.hpp"
 
 #include <boost/json.hpp>
 
@@ -9,7 +9,7 @@
 namespace json = boost::json;
 } // namespace
 
-json::object to_json(const routes_word& sent)
+json::object to_json(const routes_update& sent)
 {
     json::object members{{"f", sent.reader},
                          {"k", sent.rank},
@@ -24,9 +24,9 @@
     return members;
 }
 
-routes_word routes_word_from_json(const json::object& members)
+routes_update routes_update_from_json(const json::object& members)
 {
-    routes_word read;
+    routes_update read;
     read.reader = json::value_to<std::string>(members.at("f"));
     read.rank = json::value_to<std::size_t>(members.at("k"));
     read.version = json::value_to<std::uint64_t>(members.at("v"));
--- a/src/core/heap.cpp
+++ b/src/core/heap.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-void keep_large_buffers_apart()
+void set_malloc_thresholds()
 {
     mallopt(M_MMAP_THRESHOLD, mmap_threshold_bytes);
     mallopt(M_TRIM_THRESHOLD, trim_threshold_bytes);
--- a/src/core/packing.cpp
+++ b/src/core/packing.cpp
@@ -71,7 +71,7 @@
     while (!stream.at_end() && !stream.failed())
     {
         stream.step(text);
-        if (text.size() > longest_unpacked)
+        if (text.size() > max_unpacked_bytes)
             return error(error_code::too_large, "a packed text");
     }
     if (stream.failed())
--- a/src/distribution/version_gate.cpp
+++ b/src/distribution/version_gate.cpp
@@ -25,7 +25,7 @@
 
 gate_decision version_gate::offer(const table_update& update)
 {
-    saw(update.version);
+    note_version(update.version);
     const auto decision = decide(update);
     if (decision == gate_decision::applied)
         retry_held();
@@ -59,7 +59,7 @@
     return any;
 }
 
-void version_gate::saw(std::uint64_t version) noexcept
+void version_gate::note_version(std::uint64_t version) noexcept
 {
     m_greatest_seen = std::max(m_greatest_seen, version);
 }
--- a/src/http/call_session.cpp
+++ b/src/http/call_session.cpp
@@ -92,7 +92,7 @@
             m_linger_end->cancel(); // the input has ended
         return m_closing ? void() : close_and_cancel();
     }
-    m_arrived = m_worker.unseen_since();
+    m_arrived = m_worker.earliest_arrival();
     m_buffer.commit(size);
     if (!m_closing) // m_reading stays set until the fiber has handled them
         return m_worker.spawn([self = shared_from_this()]
@@ -209,7 +209,7 @@
         outcome != read_outcome::call)
         return outcome;
     into.request.received = m_arrived;
-    m_arrived = m_worker.unseen_since(); // of the bytes that follow
+    m_arrived = m_worker.earliest_arrival(); // of the bytes that follow
     if (const auto bad = framing_fault(parser.get().base()); !bad.empty())
     {
         fault = {400, bad};
--- a/src/http/exchange.cpp
+++ b/src/http/exchange.cpp
@@ -172,7 +172,7 @@
 }
 
 std::optional<std::chrono::seconds>
-idle_seconds_told(const whole_response& response)
+keep_alive_timeout(const whole_response& response)
 {
     constexpr std::string_view key = "timeout=";
     const std::string_view value = response[http::field::keep_alive];
--- a/src/http/inbound_call.cpp
+++ b/src/http/inbound_call.cpp
@@ -17,7 +17,7 @@
     : m_stream(stream)
     , m_buffer(buffer)
 {
-    m_parser.header_limit(largest_head);
+    m_parser.header_limit(max_head_bytes);
     m_parser.body_limit(boost::none);
 }
 
--- a/src/http/link_turns.cpp
+++ b/src/http/link_scheduler.cpp
@@ -1,10 +1,10 @@
-#include "tillerhall/http/link_turns.hpp"
+#include "tillerhall/http/link_scheduler.hpp"
 #include "tillerhall/core/await.hpp"
 
 namespace tillerhall
 {
 
-void link_turns::await_slot(std::uint64_t bytes, time_point due)
+void link_scheduler::await_slot(std::uint64_t bytes, time_point due)
 {
     const auto now = steady_clock::now();
     if (!m_schedule.must_wait(bytes, now))
@@ -23,7 +23,7 @@
         granted.async_wait(await{ignored});
 }
 
-void link_turns::grant_ready()
+void link_scheduler::grant_ready()
 {
     m_schedule.grant(steady_clock::now());
     if (!m_schedule.any_waits())
--- a/src/http/listener.cpp
+++ b/src/http/listener.cpp
@@ -57,12 +57,12 @@
 
 void listener::start(session body)
 {
-    start_taking(
+    start_accepting(
         [this, body = std::move(body)](std::shared_ptr<tcp_stream> stream)
         { m_worker.spawn([body, stream] { body(*stream); }); });
 }
 
-void listener::start_taking(connection_handler handle)
+void listener::start_accepting(connection_handler handle)
 {
     m_handle = std::move(handle);
     m_worker.spawn([this] { accept_loop(); });
--- a/src/membership/member.cpp
+++ b/src/membership/member.cpp
@@ -36,7 +36,7 @@
     target_id = field_count,
     left_targets,
     link_mbps,
-    target_ends, ///< written only if it or a later field is not empty
+    target_crashes, ///< written only if it or a later field is not empty
     good_runs,
     release
 };
@@ -56,13 +56,13 @@
     return static_cast<Enum>(number);
 }
 
-json::value to_json(const target_end& sent)
+json::value to_json(const target_crash& sent)
 {
     return json::array{sent.target_id, sent.at_ms,
                        json::value_from(sent.calls)};
 }
 
-target_end target_end_from(const json::value& value)
+target_crash target_crash_from(const json::value& value)
 {
     const auto& cells = value.as_array();
     return {json::value_to<std::string>(cells.at(0)),
@@ -91,7 +91,7 @@
     return list;
 }
 
-auto sort_key(const target_end& event)
+auto sort_key(const target_crash& event)
 {
     return std::tie(event.at_ms, event.target_id);
 }
@@ -185,10 +185,10 @@
            checked.state == member_state::leaving;
 }
 
-bool add_target_ends(member& to, const std::vector<target_end>& crashes)
+bool add_target_crashes(member& to, const std::vector<target_crash>& crashes)
 {
     constexpr std::size_t most_kept = 4;
-    return add_newest(to.target_ends, crashes, most_kept);
+    return add_newest(to.target_crashes, crashes, most_kept);
 }
 
 bool add_good_runs(member& to, const std::vector<good_run>& runs)
@@ -197,11 +197,11 @@
     return add_newest(to.good_runs, runs, most_kept);
 }
 
-bool forget_news(member& of, std::uint64_t oldest_ms)
+bool forget_crash_evidence(member& of, std::uint64_t oldest_ms)
 {
     const auto is_old = [&](const auto& each)
     { return each.at_ms < oldest_ms; };
-    const auto crashes = std::erase_if(of.target_ends, is_old);
+    const auto crashes = std::erase_if(of.target_crashes, is_old);
     const auto runs = std::erase_if(of.good_runs, is_old);
     return crashes + runs > 0;
 }
@@ -223,10 +223,10 @@
                       json::value_from(sent.left_targets),
                       sent.link_mbps};
     const bool no_crash_data =
-        sent.target_ends.empty() && sent.good_runs.empty();
+        sent.target_crashes.empty() && sent.good_runs.empty();
     if (no_crash_data && sent.release.empty())
         return cells;
-    cells.push_back(to_json_array(sent.target_ends));
+    cells.push_back(to_json_array(sent.target_crashes));
     cells.push_back(to_json_array(sent.good_runs));
     if (!sent.release.empty())
         cells.push_back(json::string(sent.release));
@@ -262,9 +262,9 @@
         }
         if (cells.size() > link_mbps)
             read.link_mbps = json::value_to<std::uint32_t>(cells[link_mbps]);
-        if (cells.size() > target_ends)
-            for (const auto& each : cells[target_ends].as_array())
-                read.target_ends.push_back(target_end_from(each));
+        if (cells.size() > target_crashes)
+            for (const auto& each : cells[target_crashes].as_array())
+                read.target_crashes.push_back(target_crash_from(each));
         if (cells.size() > good_runs)
             for (const auto& each : cells[good_runs].as_array())
                 read.good_runs.push_back(good_run_from(each));
--- a/src/membership/member_list.cpp
+++ b/src/membership/member_list.cpp
@@ -51,9 +51,9 @@
     if (known != nullptr)
     {
         add_left_targets(taken, known->left_targets);
-        add_target_ends(taken, known->target_ends);
+        add_target_crashes(taken, known->target_crashes);
         add_good_runs(taken, known->good_runs);
-        forget_news(taken, m_oldest_evidence_ms);
+        forget_crash_evidence(taken, m_oldest_evidence_ms);
     }
     store(taken);
     return merge_result::changed;
@@ -66,7 +66,7 @@
     auto raised = self();
     const bool accused = supersedes(offered, raised);
     const bool departure_added = add_left_targets(raised, offered.left_targets);
-    const bool crash_added = add_target_ends(raised, offered.target_ends);
+    const bool crash_added = add_target_crashes(raised, offered.target_crashes);
     const bool run_added = add_good_runs(raised, offered.good_runs);
     const bool learned = departure_added || crash_added || run_added;
     if (!accused && !learned)
--- a/src/node/burn_controller.cpp
+++ b/src/node/burn_controller.cpp
@@ -82,7 +82,7 @@
     burn_report total;
     for (const auto& each : m_mesh.board.burn.entries(wall_clock_minute()))
         add_to(total, each);
-    ask_range(
+    query_range(
         m_mesh, {burn_method, traffic_kind::watch, {}}, range,
         [&](const json::object& answer)
         {
--- a/src/node/call_admission.cpp
+++ b/src/node/call_admission.cpp
@@ -89,10 +89,10 @@
     return m_admission.in_flight();
 }
 
-std::int64_t call_admission::most_in_flight() const
+std::int64_t call_admission::peak_in_flight() const
 {
     const std::lock_guard lock(m_mutex);
-    return m_admission.most_in_flight();
+    return m_admission.peak_in_flight();
 }
 
 } // namespace tillerhall
--- a/src/node/call_context.cpp
+++ b/src/node/call_context.cpp
@@ -85,10 +85,10 @@
     return context;
 }
 
-request_head onward_head(const request_head& head,
-                         const call_context& context,
-                         time_point deadline,
-                         time_point now)
+request_head forwarded_head(const request_head& head,
+                            const call_context& context,
+                            time_point deadline,
+                            time_point now)
 {
     request_head onward = head;
     remove_hop_fields(onward);
--- a/src/node/end_register.cpp
+++ b/src/node/crash_registry.cpp
@@ -1,4 +1,4 @@
-#include "tillerhall/node/end_register.hpp"
+#include "tillerhall/node/crash_registry.hpp"
 #include "tillerhall/http/inbound_call.hpp"
 #include "tillerhall/proxy/call_fingerprint.hpp"
 
@@ -30,16 +30,16 @@
     return request;
 }
 
-std::optional<call_hold> hold_on(const suspect_calls& known,
-                                 const inbound_call& call)
+std::optional<call_quarantine> active_quarantine(const poison_calls& known,
+                                                 const inbound_call& call)
 {
     if (known.empty())
         return std::nullopt;
-    const auto hold = hold_of(known, fingerprinted_part(call));
-    return hold && !hold->may_be_tried(false) ? hold : std::nullopt;
+    const auto hold = quarantine_of(known, fingerprinted_part(call));
+    return hold && !hold->may_be_probed(false) ? hold : std::nullopt;
 }
 
-end_register::run::run(end_register& in, const inbound_call& call)
+crash_registry::run::run(crash_registry& in, const inbound_call& call)
     : m_in(in)
     , m_call(call)
 {
@@ -47,13 +47,13 @@
     m_in.m_runs.push_back(*this);
 }
 
-end_register::run::~run()
+crash_registry::run::~run()
 {
     const std::lock_guard lock(m_in.m_mutex);
     m_in.m_runs.erase(m_in.m_runs.iterator_to(*this));
 }
 
-std::optional<target_end> end_register::crash_of(const std::string& target)
+std::optional<target_crash> crash_registry::crash_of(const std::string& target)
 {
     const std::lock_guard lock(m_mutex);
     const auto now = steady_clock::now();
@@ -65,22 +65,22 @@
     {
         const auto request = fingerprinted_part(each.call());
         if (!m_ran_well.contain(request) &&
-            calls.size() < target_end::most_calls)
+            calls.size() < target_crash::max_calls)
             calls.insert(fingerprint_of(request).text());
         m_ran_well.forget(request);
     }
-    return target_end{target, wall_clock_ms(), {calls.begin(), calls.end()}};
+    return target_crash{target, wall_clock_ms(), {calls.begin(), calls.end()}};
 }
 
-void end_register::target_ended(const std::string& target)
+void crash_registry::target_crashed(const std::string& target)
 {
     const auto crash = crash_of(target);
     if (crash && m_callbacks.crashed)
         m_callbacks.crashed(*crash);
 }
 
-void end_register::ran_well(const inbound_call& call,
-                            const suspect_calls& known)
+void crash_registry::ran_well(const inbound_call& call,
+                              const poison_calls& known)
 {
     const auto request = fingerprinted_part(call);
     {
--- a/src/node/distribution_controller.cpp
+++ b/src/node/distribution_controller.cpp
@@ -195,7 +195,7 @@
 void distribution_controller::note_peer_version(std::uint64_t version,
                                                 const address& peer)
 {
-    m_gate.saw(version);
+    m_gate.note_version(version);
     if (version <= current()->version() || m_pulling ||
         !m_strategy.pulls_from_peers())
         return;
--- a/src/node/entry_proxy.cpp
+++ b/src/node/entry_proxy.cpp
@@ -115,7 +115,7 @@
 
 void entry_proxy::handle(inbound_call& call)
 {
-    auto context = read_context(call.head(), m_worker.unseen_since());
+    auto context = read_context(call.head(), m_worker.earliest_arrival());
     context.caller = caller_name(call.stream());
     const auto fault = framing_fault(call.head());
     if (!fault.empty())
@@ -158,7 +158,8 @@
         result.end = relay_end::caller_gone;
         return result;
     }
-    if (const auto quarantine = hold_on(*m_board.suspects.get(), call))
+    if (const auto quarantine =
+            active_quarantine(*m_board.poison_view.get(), call))
         return m_local.refuse_quarantined(*quarantine);
     return needs_claim(call, context) ? forward_claimed(call, context)
                                       : run_with_retries(call, context);
@@ -229,7 +230,7 @@
                             const row& limits,
                             const relay_result& result)
 {
-    if (steady_clock::now() >= context.deadline || !call.can_send_again())
+    if (steady_clock::now() >= context.deadline || !call.can_retry())
         return false;
     if (result.end == relay_end::not_run)
         return true;
@@ -279,7 +280,7 @@
     }
     relay_plan plan;
     plan.upstream = upstream_kind::peer;
-    plan.head = onward_head(call.head(), context, deadline, now);
+    plan.head = forwarded_head(call.head(), context, deadline, now);
     plan.head.set(field_name::caller, context.caller);
     plan.deadline = deadline;
     plan.request_id = context.request_id;
--- a/src/node/membership_controller.cpp
+++ b/src/node/membership_controller.cpp
@@ -23,7 +23,8 @@
 // Peers drop crashes and good runs earlier than the node that reports them,
 // whose clock may differ. Else they would add entries that this node has just
 // removed to its newer record.
-constexpr duration evidence_accepted = news_kept - std::chrono::minutes(1);
+constexpr duration evidence_accepted =
+    crash_evidence_kept - std::chrono::minutes(1);
 
 } // namespace
 
@@ -71,7 +72,7 @@
         sleep_for(m_mesh.on.io(), milliseconds(base + jitter - base / 20));
         m_mesh.members.set_now(steady_clock::now(),
                                wall_clock_ms() - to_ms(evidence_accepted));
-        if (m_mesh.board.control.was_paused())
+        if (m_mesh.board.control.is_stalled())
             resume();
         m_mesh.board.control.tick();
         m_mesh.on.spawn([this] { send_heartbeat(); });
@@ -83,7 +84,8 @@
 void membership_controller::forget_own_evidence()
 {
     auto self = m_mesh.members.self();
-    if (forget_news(self, wall_clock_ms() - to_ms(news_kept)))
+    if (forget_crash_evidence(self,
+                              wall_clock_ms() - to_ms(crash_evidence_kept)))
         announce_self(self);
 }
 
@@ -95,7 +97,7 @@
     const auto before = board.phase.exchange(node_phase::resuming);
     board.decisions.note("resuming", m_mesh.members.self().rpc.text(),
                          "the process was paused",
-                         {{"quiet_ms", board.control.quiet_ms()}});
+                         {{"quiet_ms", board.control.ms_since_tick()}});
     // The node stays in this phase until a peer has sent the current state. A
     // node that is alone in the mesh has no peer to ask.
     while (m_mesh.members.live_count() > 1)
@@ -133,8 +135,8 @@
     message.members_digest = m_mesh.members.digest();
     message.source_age_ms = m_freshness.age_ms(steady_clock::now());
     message.rumors = m_mesh.rumors.take(m_mesh.members);
-    if (m_mesh.rollouts_told)
-        message.rollouts = m_mesh.rollouts_told();
+    if (m_mesh.rollouts_to_send)
+        message.rollouts = m_mesh.rollouts_to_send();
     return message;
 }
 
@@ -223,14 +225,14 @@
                                              const address& peer)
 {
     merge_all(message.rumors, "heartbeat", propagation::by_rumor);
-    m_freshness.heard(message.source_age_ms, steady_clock::now());
+    m_freshness.note_peer_read(message.source_age_ms, steady_clock::now());
     auto& seen = m_versions_seen[peer];
     seen = std::max(seen, message.version);
     m_tables.note_peer_version(message.version, peer);
-    if (m_mesh.routes_heard)
-        m_mesh.routes_heard(message.routes_version, peer);
-    if (m_mesh.rollouts_heard && !message.rollouts.empty())
-        m_mesh.rollouts_heard(message.rollouts);
+    if (m_mesh.on_routes_version)
+        m_mesh.on_routes_version(message.routes_version, peer);
+    if (m_mesh.on_rollouts && !message.rollouts.empty())
+        m_mesh.on_rollouts(message.rollouts);
     const bool no_rumors = message.rumors.empty() && m_mesh.rumors.size() == 0;
     const bool differs = message.members_digest != m_mesh.members.digest();
     m_consecutive_differences =
@@ -270,7 +272,7 @@
     announce_self(changed);
 }
 
-bool membership_controller::tell(const address& peer)
+bool membership_controller::send_self_record(const address& peer)
 {
     const auto* record = m_mesh.members.find(peer);
     if (record == nullptr)
@@ -285,7 +287,7 @@
         .has_value();
 }
 
-void membership_controller::learn(const std::vector<member>& records)
+void membership_controller::merge_stored(const std::vector<member>& records)
 {
     merge_all(records, "store", propagation::none);
 }
--- a/src/node/membership_joining.cpp
+++ b/src/node/membership_joining.cpp
@@ -107,10 +107,10 @@
         m_mesh.members.learn_names(answer.services, answer.places);
         // Before the members, so that limits on a release's exposure are known
         // when its targets are.
-        if (m_mesh.rollouts_heard && !answer.rollouts.empty())
-            m_mesh.rollouts_heard(answer.rollouts);
+        if (m_mesh.on_rollouts && !answer.rollouts.empty())
+            m_mesh.on_rollouts(answer.rollouts);
         merge_all(answer.members, "join", propagation::none);
-        m_freshness.heard(answer.source_age_ms, steady_clock::now());
+        m_freshness.note_peer_read(answer.source_age_ms, steady_clock::now());
         m_tables.note_version(std::max(answer.version, answer.floor));
     }
     for (const auto& [peer, answer] : answers)
@@ -128,8 +128,8 @@
     answer.members = m_mesh.members.all();
     answer.services = m_mesh.members.services();
     answer.places = m_mesh.members.places();
-    if (m_mesh.rollouts_told)
-        answer.rollouts = m_mesh.rollouts_told();
+    if (m_mesh.rollouts_to_send)
+        answer.rollouts = m_mesh.rollouts_to_send();
     answer.version = m_tables.current()->version();
     answer.source_age_ms = m_freshness.age_ms(steady_clock::now());
     if (const auto seen = m_versions_seen.find(joiner);
--- a/src/node/mesh_node.cpp
+++ b/src/node/mesh_node.cpp
@@ -1,5 +1,5 @@
 #include "tillerhall/node/mesh_node.hpp"
-#include "tillerhall/control/drain_book.hpp"
+#include "tillerhall/control/drain_registry.hpp"
 #include "tillerhall/control/quota_controller.hpp"
 #include "tillerhall/control/report_controller.hpp"
 #include "tillerhall/control/rollout_api.hpp"
@@ -8,8 +8,8 @@
 #include "tillerhall/http/api_server.hpp"
 #include "tillerhall/http/call_session.hpp"
 #include "tillerhall/http/listener.hpp"
+#include "tillerhall/node/poison_calls_publisher.hpp"
 #include "tillerhall/node/self_record.hpp"
-#include "tillerhall/node/suspect_news.hpp"
 #include "tillerhall/proxy/call_entry.hpp"
 
 #include <algorithm>
@@ -107,7 +107,8 @@
         directory = std::make_unique<directory_controller>(
             *mesh, *membership, *store,
             directory_settings{"members", [this] {
-                                   return routes->duty() == store_duty::speak;
+                                   return routes->role() ==
+                                          store_role::announce;
                                }});
         owner = std::make_unique<target_owner>(adapter.names, config.service,
                                                config.domain, board, targets,
@@ -128,7 +129,7 @@
         membership->add_methods();
         routes->add_methods();
         quota_counts->add_methods();
-        owner->set_news([this] { reporter->tell_news(); });
+        owner->set_change_callback([this] { reporter->announce_changes(); });
         owner->set_link(outgoing, config.link_mbps);
         mesh->routes_changed = [this](const route_view&) { publish_members(); };
         compose_sessions();
@@ -137,35 +138,36 @@
     void compose_rollouts()
     {
         const auto is_reader = [this]
-        { return routes->duty() == store_duty::speak; };
-        book = std::make_unique<rollout_book>(*mesh);
-        keeper = std::make_unique<rollout_keeper>(*mesh, *book, *store,
-                                                  adapter.rollouts, is_reader);
-        decider =
-            std::make_unique<rollout_decider>(*mesh, *book, *keeper, is_reader);
+        { return routes->role() == store_role::announce; };
+        registry = std::make_unique<rollout_registry>(*mesh);
+        store_sync = std::make_unique<rollout_store_sync>(
+            *mesh, *registry, *store, adapter.rollouts, is_reader);
+        decider = std::make_unique<rollout_decider>(*mesh, *registry,
+                                                    *store_sync, is_reader);
         run_reporter = std::make_unique<rollout_reporter>(
-            *mesh, *book, *decider, targets, *owner);
-        rollouts = std::make_unique<rollout_api>(*book, *decider, *keeper,
-                                                 adapter.operator_token);
-        book->add_methods();
+            *mesh, *registry, *decider, targets, *owner);
+        rollouts = std::make_unique<rollout_api>(
+            *registry, *decider, *store_sync, adapter.operator_token);
+        registry->add_methods();
         decider->add_methods();
-        book->on_change([this] { publish_targets(); });
+        registry->on_change([this] { publish_targets(); });
         routes->on_rows(
             [this](const row_page& page, bool is_whole)
             {
-                drains->rows_seen(page, is_whole);
-                keeper->rows_seen(page.rows);
+                drains->apply_rows(page, is_whole);
+                store_sync->apply_rows(page.rows);
             });
     }
 
     void compose_drains()
     {
-        drains = std::make_unique<drain_book>(*mesh, adapter.drained_domain);
+        drains =
+            std::make_unique<drain_registry>(*mesh, adapter.drained_domain);
         drains->on_change([this](const domain_drains& previous)
                           { drains_changed(previous); });
         routes->on_drained(
             [this](const std::set<std::string>& domains, std::uint64_t revision)
-            { drains->heard(domains, revision); });
+            { drains->apply_update(domains, revision); });
     }
 
     void compose_sessions()
@@ -196,12 +198,12 @@
 
     void start()
     {
-        callers->start_taking(
+        callers->start_accepting(
             [this](std::shared_ptr<tcp_stream> stream) {
                 call_session::serve(main_worker, std::move(stream),
                                     client_host);
             });
-        peers->start_taking(
+        peers->start_accepting(
             [this](std::shared_ptr<tcp_stream> stream) {
                 call_session::serve(main_worker, std::move(stream), peer_host);
             });
@@ -221,7 +223,7 @@
         routes->start();
         directory->start([this] { members_loaded(); });
         membership->start();
-        keeper->start();
+        store_sync->start();
         decider->start();
         run_reporter->start();
         quota_counts->start();
@@ -240,7 +242,7 @@
     {
         const auto& own = config.domain;
         if (previous.contains(own) && !board.drains.get()->contains(own))
-            targets.suppose_cold(
+            targets.assume_cold(
                 board.call_map.get()->terms_of(config.service).cold_for,
                 steady_clock::now());
         publish_targets();
@@ -248,14 +250,14 @@
 
     void publish_members()
     {
-        book->note_members();
+        registry->update_stable_releases();
         publish_targets();
-        publish_suspects(board, mesh->members);
+        publish_poison_calls(board, mesh->members);
     }
 
     void members_loaded()
     {
-        reporter->marks_loaded();
+        reporter->departures_loaded();
         // The targets must be published before the node becomes ready.
         publish_members();
     }
@@ -396,10 +398,10 @@
     mesh_adapter adapter;
     entry_settings entry_config;
     worker main_worker;
-    link_turns outgoing{main_worker.io(), config.link_mbps};
+    link_scheduler outgoing{main_worker.io(), config.link_mbps};
     blackboard board;
     target_board board_targets;
-    target_register targets;
+    target_registry targets;
     quota_gate quotas{{config.quota_overage, config.quota_extra},
                       entropy_seed()};
     session_host client_host;
@@ -418,9 +420,9 @@
     std::unique_ptr<target_owner> owner;
     std::unique_ptr<report_controller> reporter;
     std::unique_ptr<quota_controller> quota_counts;
-    std::unique_ptr<drain_book> drains;
-    std::unique_ptr<rollout_book> book;
-    std::unique_ptr<rollout_keeper> keeper;
+    std::unique_ptr<drain_registry> drains;
+    std::unique_ptr<rollout_registry> registry;
+    std::unique_ptr<rollout_store_sync> store_sync;
     std::unique_ptr<rollout_decider> decider;
     std::unique_ptr<rollout_reporter> run_reporter;
     std::unique_ptr<rollout_api> rollouts;
--- a/src/node/messages.cpp
+++ b/src/node/messages.cpp
@@ -90,7 +90,7 @@
         domains[domain].total += counted.total;
     }
     for (const auto& node : other.laggards)
-        if (laggards.size() < most_named)
+        if (laggards.size() < max_named)
             laggards.push_back(node);
     greatest_version = std::max(greatest_version, other.greatest_version);
 }
@@ -102,7 +102,7 @@
     ++domains[domain].total;
     if (at)
         ++domains[domain].at;
-    else if (laggards.size() < most_named)
+    else if (laggards.size() < max_named)
         laggards.push_back(node);
 }
 
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -6,9 +6,9 @@
 #include "tillerhall/node/claim_controller.hpp"
 #include "tillerhall/node/entry_proxy.hpp"
 #include "tillerhall/node/operator_api.hpp"
+#include "tillerhall/node/poison_calls_publisher.hpp"
 #include "tillerhall/node/self_record.hpp"
 #include "tillerhall/node/source_controller.hpp"
-#include "tillerhall/node/suspect_news.hpp"
 #include "tillerhall/node/target_controller.hpp"
 #include "tillerhall/store/http_platform.hpp"
 
@@ -162,18 +162,19 @@
         control->mesh.routes_changed = [this](const route_view& routes)
         {
             admission_gate.set_limits(limits_for(config, routes));
-            publish_suspects(board, control->mesh.members);
+            publish_poison_calls(board, control->mesh.members);
         };
-        crashes.set_news({[this](const target_end& end) { tell(end); },
-                          [this](const good_run& run) { tell(run); }});
+        crashes.set_callbacks({[this](const target_crash& end)
+                               { announce(end); },
+                               [this](const good_run& run) { announce(run); }});
         for (auto& each : workers)
             compose_calls(*each);
     }
 
     template <class Evidence>
-    void tell(const Evidence& evidence)
+    void announce(const Evidence& evidence)
     {
-        first().spawn([this, evidence] { control->target.tell(evidence); });
+        first().spawn([this, evidence] { control->target.announce(evidence); });
     }
 
     void compose_calls(call_worker& serving_worker)
@@ -254,7 +255,7 @@
     blackboard board;
     target_board targets;
     call_admission admission_gate;
-    end_register crashes;
+    crash_registry crashes;
     std::vector<std::unique_ptr<call_worker>> workers;
     std::unique_ptr<listener> rpc;
     std::unique_ptr<listener> operators;
--- a/src/node/operator_api.cpp
+++ b/src/node/operator_api.cpp
@@ -119,7 +119,7 @@
 
 bool operator_api::is_authorized(const http_request& request) const
 {
-    return brings_token(request, m_token);
+    return has_valid_token(request, m_token);
 }
 
 http_response operator_api::ready(const http_request&)
@@ -138,7 +138,7 @@
 void operator_api::refresh_gauges()
 {
     auto& board = m_mesh.board;
-    for (std::size_t i = 0; i < traffic_kinds; ++i)
+    for (std::size_t i = 0; i < traffic_kind_count; ++i)
     {
         const auto kind = static_cast<traffic_kind>(i);
         const auto label = "kind=\"" + std::string(name_of(kind)) + "\"";
--- a/src/node/operator_json.cpp
+++ b/src/node/operator_json.cpp
@@ -119,7 +119,7 @@
 json::object to_json(const traffic_counters& traffic)
 {
     json::object kinds;
-    for (std::size_t i = 0; i < traffic_kinds; ++i)
+    for (std::size_t i = 0; i < traffic_kind_count; ++i)
     {
         const auto kind = static_cast<traffic_kind>(i);
         kinds[name_of(kind)] = json::object{{"in", traffic.bytes_in(kind)},
--- a/src/node/operator_token.cpp
+++ b/src/node/operator_token.cpp
@@ -23,7 +23,7 @@
     return token;
 }
 
-bool brings_token(const http_request& request, const std::string& token)
+bool has_valid_token(const http_request& request, const std::string& token)
 {
     const auto expected = "Bearer " + token;
     const auto& given = request.authorization;
--- a/src/node/owner_proxy.cpp
+++ b/src/node/owner_proxy.cpp
@@ -37,12 +37,12 @@
 owner_proxy::owner_proxy(const settings& config,
                          blackboard& board,
                          call_admission& admission_gate,
-                         end_register& crashes,
+                         crash_registry& crashes,
                          worker& own_worker)
     : m_config(config)
     , m_board(board)
     , m_admission(admission_gate)
-    , m_ends(crashes)
+    , m_crash_registry(crashes)
     , m_worker(own_worker)
     , m_pool(own_worker.io(), max_idle(config), config.rpc.ip)
 {
@@ -59,7 +59,8 @@
         if (call.read_head() != head_status::ok)
             return;
         stream.expires_never();
-        const auto context = read_context(call.head(), m_worker.unseen_since());
+        const auto context =
+            read_context(call.head(), m_worker.earliest_arrival());
         // A body announced by Expect: 100-continue is read after admission.
         if (!call.expects_continue() && !call.read_prefix())
             return;
@@ -86,9 +87,10 @@
     return refused;
 }
 
-relay_result owner_proxy::refuse_quarantined(const call_hold& quarantine) const
+relay_result
+owner_proxy::refuse_quarantined(const call_quarantine& quarantine) const
 {
-    auto refused = refuse(ends_its_targets);
+    auto refused = refuse(crashes_its_targets);
     refused.retry_after = seconds_text(quarantine.left);
     return refused;
 }
@@ -134,11 +136,12 @@
         return refuse("target_not_reached");
     if (from_peer && call.expects_continue() && !call.read_prefix())
         return caller_gone_result;
-    if (const auto quarantine = hold_on(*m_board.suspects.get(), call))
+    if (const auto quarantine =
+            active_quarantine(*m_board.poison_view.get(), call))
         return refuse_quarantined(*quarantine);
     relay_plan plan;
     plan.upstream = upstream_kind::target;
-    plan.head = onward_head(call.head(), context, deadline, now);
+    plan.head = forwarded_head(call.head(), context, deadline, now);
     plan.deadline = deadline;
     plan.not_run_header = m_config.target_not_run_header;
     plan.request_id = context.request_id;
@@ -152,16 +155,16 @@
                                 const relay_plan& plan,
                                 std::unique_ptr<tcp_stream> stream)
 {
-    const end_register::run running(m_ends, call);
+    const crash_registry::run running(m_crash_registry, call);
     auto result = relay_call(call, *stream, plan);
     if (result.reusable)
         m_pool.give_back(m_config.target, std::move(stream));
     if (result.end == relay_end::answered && result.status < first_server_error)
-        m_ends.ran_well(call, *m_board.suspects.get());
+        m_crash_registry.ran_well(call, *m_board.poison_view.get());
     const bool is_lost =
         result.end == relay_end::unknown || result.end == relay_end::cut;
     if (is_lost && has_target_crashed())
-        m_ends.target_ended(m_config.target.text());
+        m_crash_registry.target_crashed(m_config.target.text());
     return result;
 }
 
--- a/src/node/target_controller.cpp
+++ b/src/node/target_controller.cpp
@@ -52,18 +52,18 @@
     }
 }
 
-void target_controller::tell(const target_end& crash)
+void target_controller::announce(const target_crash& crash)
 {
     m_mesh.board.decisions.note(
         "target_ended", crash.target_id,
         "it lost its calls and refuses connections",
         {{"calls", boost::json::value_from(crash.calls)}});
     auto changed = m_mesh.members.self();
-    add_target_ends(changed, {crash});
+    add_target_crashes(changed, {crash});
     m_membership.announce_self(changed);
 }
 
-void target_controller::tell(const good_run& run)
+void target_controller::announce(const good_run& run)
 {
     m_mesh.board.decisions.note("call_cleared", run.call, "it runs well here");
     auto changed = m_mesh.members.self();
--- a/src/node/watch.cpp
+++ b/src/node/watch.cpp
@@ -27,7 +27,7 @@
     report.greatest_version = current()->version();
     report.count(self.place.domain, self.rpc.text(),
                  current()->version() >= version);
-    ask_range(
+    query_range(
         m_mesh, {method::watch, traffic_kind::watch, {{"v", version}}}, range,
         [&](const json::object& answer)
         { report.add(watch_report_from_json(answer)); },
--- a/src/observe/traffic.cpp
+++ b/src/observe/traffic.cpp
@@ -6,7 +6,7 @@
 {
 namespace
 {
-constexpr std::array<std::string_view, traffic_kinds> kind_names{
+constexpr std::array<std::string_view, traffic_kind_count> kind_names{
     "heartbeat", "delta", "snapshot", "source", "membership", "watch", "other"};
 
 std::size_t index_of(traffic_kind kind) noexcept
--- a/src/proxy/call_entry.cpp
+++ b/src/proxy/call_entry.cpp
@@ -136,7 +136,7 @@
     const auto left = time_left_of(message[m_names.time_left]);
     const auto caller = caller_of(message, *routes, route);
     if (!caller.may_call())
-        return refuse_caller(id, caller.standing);
+        return refuse_caller(id, caller.status);
     if (const auto retry_after = over_quota(caller))
         return m_answers.over_quota(id, *retry_after);
     if (routes->accounts() != nullptr)
@@ -170,10 +170,10 @@
 }
 
 whole_response call_entry::refuse_caller(const std::string& id,
-                                         caller_standing standing) const
+                                         caller_status status) const
 {
     m_board.metrics.get("tillerhall_caller_refused_total").add();
-    return standing == caller_standing::not_known
+    return status == caller_status::unauthenticated
                ? m_answers.unauthorized(id)
                : m_answers.unavailable(id, "whose call it is can't be told");
 }
@@ -183,8 +183,8 @@
     if (caller.account == nullptr)
         return std::nullopt;
     const auto retry_after =
-        m_quotas.ask(*caller.account, m_board.targets.get()->live_members(),
-                     steady_clock::now());
+        m_quotas.admit(*caller.account, m_board.targets.get()->live_members(),
+                       steady_clock::now());
     if (retry_after)
         m_board.metrics.get("tillerhall_over_quota_total").add();
     return retry_after;
@@ -297,9 +297,9 @@
                                      const call_state& state,
                                      const service_targets& view)
 {
-    const auto& canaries = view.on_trial(state.call.service);
+    const auto& canaries = view.canaries_of(state.call.service);
     if (canaries.members.empty() ||
-        !m_services[state.call.service].permits.has_one())
+        !m_services[state.call.service].permits.has_permit())
         return nullptr;
     // A full target would refuse it, while one of the stable release may not.
     auto with_room = canaries.members;
@@ -318,7 +318,7 @@
     if (state.is_canary && !reached)
         return permits.give_back();
     const auto view = m_board.targets.get();
-    const auto& canaries = view->on_trial(state.call.service);
+    const auto& canaries = view->canaries_of(state.call.service);
     if (reached && canaries.share > 0)
         permits.reached(canaries.share, m_random.unit());
 }
@@ -354,27 +354,28 @@
     return chosen;
 }
 
-std::optional<call_hold>
+std::optional<call_quarantine>
 call_entry::quarantine_status(const received_request& request,
                               const call_state& state) const
 {
-    return hold_of(*m_board.suspects.get(), request.message, state.crashed_at);
+    return quarantine_of(*m_board.poison_view.get(), request.message,
+                         state.crashed_at);
 }
 
 owner_answer call_entry::forward_quarantined(received_request& request,
                                              call_state& state,
-                                             const call_hold& quarantine,
+                                             const call_quarantine& quarantine,
                                              cancel_scope& scope)
 {
     owner_answer refused;
     refused.end = call_end::not_run;
-    refused.reason = ends_its_targets;
+    refused.reason = crashes_its_targets;
     refused.retry_after = quarantine.left;
     const auto view = m_board.targets.get();
     const bool may_probe =
-        quarantine.may_be_tried(m_recent_good_calls.contain(request.message));
+        quarantine.may_be_probed(m_recent_good_calls.contain(request.message));
     const auto owner = may_probe
-                           ? trial_owner(view->of(state.call.service),
+                           ? probe_owner(view->of(state.call.service),
                                          fingerprint_of(request.message).text())
                            : nullptr;
     if (owner)
@@ -473,7 +474,7 @@
     const bool has_no_room =
         answer.end == call_end::not_run &&
         answer.reason == name_of(admission_verdict::queue_full);
-    if (has_no_room && (answer.report.is_pressed || m_worker.is_pressed()))
+    if (has_no_room && (answer.report.is_saturated || m_worker.is_saturated()))
         m_refusals.refused(owner.rpc, state.refusal_key(), answer.retry_after,
                            m_random.unit(), now);
 }
@@ -485,7 +486,7 @@
     if (answer.end != call_end::answered && answer.end != call_end::cancelled)
         m_local.call_failed(answer.end == call_end::not_run &&
                             !answer.reached &&
-                            answer.reason != ends_its_targets);
+                            answer.reason != crashes_its_targets);
     if (answer.end != call_end::answered || is_failure(answer))
         m_local.runs().call_failed(state.call.request_id);
     const bool is_unknown = answer.end == call_end::unknown;
--- a/src/proxy/call_entry_peers.cpp
+++ b/src/proxy/call_entry_peers.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-std::optional<owner_word> call_entry::query_load(const member& owner)
+std::optional<load_report> call_entry::query_load(const member& owner)
 {
     auto answer = query_owner(owner, load_query(m_names.request_id));
     return answer ? std::optional(std::move(answer->report)) : std::nullopt;
--- a/src/proxy/call_fingerprint.cpp
+++ b/src/proxy/call_fingerprint.cpp
@@ -1,6 +1,6 @@
 #include "tillerhall/proxy/call_fingerprint.hpp"
 #include "tillerhall/core/digest.hpp"
-#include "tillerhall/routing/suspect_calls.hpp"
+#include "tillerhall/routing/poison_calls.hpp"
 
 #include <boost/beast/http.hpp>
 
@@ -37,15 +37,16 @@
                                            : digest_part(request.body())};
 }
 
-std::optional<call_hold> hold_of(const suspect_calls& known,
-                                 const whole_request& request,
-                                 const std::vector<address>& crashed_at)
+std::optional<call_quarantine>
+quarantine_of(const poison_calls& known,
+              const whole_request& request,
+              const std::vector<address>& crashed_at)
 {
     if (crashed_at.empty() &&
         (known.empty() || !known.knows_head(head_fingerprint(request))))
         return std::nullopt;
-    return known.hold_of(fingerprint_of(request).text(), crashed_at,
-                         wall_clock_ms());
+    return known.quarantine_of(fingerprint_of(request).text(), crashed_at,
+                               wall_clock_ms());
 }
 
 } // namespace tillerhall
--- a/src/proxy/caller_check.cpp
+++ b/src/proxy/caller_check.cpp
@@ -40,18 +40,18 @@
     if (given == 0)
     {
         if (evidence.made_by_run)
-            return {caller_standing::target};
+            return {caller_status::target};
         if (route.is_open)
             return {};
-        return {evidence.looks_nested ? caller_standing::unproved
-                                      : caller_standing::not_known};
+        return {evidence.looks_nested ? caller_status::unverified
+                                      : caller_status::unauthenticated};
     }
     const auto key = key_in(request[http::field::authorization]);
     const auto* holder =
         given > 1 || key.empty() ? nullptr : accounts->holder_of(key);
     if (holder == nullptr)
-        return {caller_standing::not_known};
-    return {caller_standing::account, holder};
+        return {caller_status::unauthenticated};
+    return {caller_status::account, holder};
 }
 
 } // namespace tillerhall
--- a/src/proxy/entry_log.cpp
+++ b/src/proxy/entry_log.cpp
@@ -19,7 +19,7 @@
                            .waited = steady_clock::now() - received,
                            .busy_for = m_worker.busy_for()};
     m_waits.record(exact_ms(begin.waited));
-    if (m_was_saturated != m_worker.is_pressed())
+    if (m_was_saturated != m_worker.is_saturated())
         log_saturation(begin.busy_for);
     return begin;
 }
--- a/src/proxy/owner_answer.cpp
+++ b/src/proxy/owner_answer.cpp
@@ -179,7 +179,7 @@
     if (answer.report.link_backlog > milliseconds::zero())
         response.set(hop_field::link_backlog_ms,
                      std::to_string(answer.report.link_backlog.count()));
-    if (answer.report.is_pressed)
+    if (answer.report.is_saturated)
         response.set(hop_field::saturated, "1");
     if (answer.others_would_refuse)
         response.set(hop_field::others_refuse, "1");
@@ -222,7 +222,7 @@
     answer.report.link_backlog = milliseconds(
         number_in<std::int64_t>(response[hop_field::link_backlog_ms])
             .value_or(0));
-    answer.report.is_pressed = response.count(hop_field::saturated) != 0;
+    answer.report.is_saturated = response.count(hop_field::saturated) != 0;
     if (answer.end != call_end::answered)
         return answer;
     for (const auto* name : answer_fields)
--- a/src/proxy/owner_choice.cpp
+++ b/src/proxy/owner_choice.cpp
@@ -142,34 +142,35 @@
     }
 }
 
-std::vector<owner_outlook>
-owner_choice::outlooks_of(const std::vector<member_ptr>& candidates,
-                          const std::vector<address>& avoid,
-                          const call_origin& from) const
+std::vector<owner_estimate>
+owner_choice::estimates_of(const std::vector<member_ptr>& candidates,
+                           const std::vector<address>& avoid,
+                           const call_origin& from) const
 {
     const auto now = steady_clock::now();
-    std::vector<owner_outlook> outlooks;
+    std::vector<owner_estimate> estimates;
     for (const auto& each : candidates)
     {
-        auto& seen = outlooks.emplace_back(m_targets.outlook(*each, from, now));
+        auto& seen =
+            estimates.emplace_back(m_targets.estimate(*each, from, now));
         const bool was_tried =
             std::ranges::find(avoid, each->rpc) != avoid.end();
-        seen.is_left_out = was_tried || is_unresponsive(each->rpc, now);
+        seen.is_excluded = was_tried || is_unresponsive(each->rpc, now);
     }
-    return outlooks;
+    return estimates;
 }
 
 std::vector<member_ptr>
 owner_choice::query_for_room(const std::vector<member_ptr>& candidates,
-                             const std::vector<owner_outlook>& outlooks,
+                             const std::vector<owner_estimate>& estimates,
                              const member_ptr& preferred,
                              const call_origin& from)
 {
     const auto position = static_cast<std::size_t>(
         std::ranges::find(candidates, preferred) - candidates.begin());
     std::vector<member_ptr> queried;
-    for (const auto i : m_load_inquiry.whom_to_ask(
-             outlooks, position, steady_clock::now(), m_random))
+    for (const auto i : m_load_inquiry.owners_to_ask(
+             estimates, position, steady_clock::now(), m_random))
         queried.push_back(candidates[i]);
     if (queried.empty())
         return queried;
@@ -188,17 +189,17 @@
     const auto best_known = best(candidates);
     if (candidates.size() <= load_inquiry::small_service)
         return best_known;
-    const auto outlooks = outlooks_of(candidates, avoid, from);
+    const auto estimates = estimates_of(candidates, avoid, from);
     std::vector<member_ptr> answered;
     // A retry after a full owner must not add to the load by queries.
     if (avoid.empty())
-        answered = query_for_room(candidates, outlooks, best_known, from);
+        answered = query_for_room(candidates, estimates, best_known, from);
     // By time alone a full fast owner would be preferred to a slow free one.
     auto with_room = answered;
     std::erase_if(with_room, [&](const member_ptr& each)
                   { return !m_targets.has_room(each->rpc); });
     for (std::size_t i = 0; i < candidates.size(); ++i)
-        if (outlooks[i].is_known && outlooks[i].has_room)
+        if (estimates[i].is_known && estimates[i].has_room)
             with_room.push_back(candidates[i]);
     for (const auto& among : {with_room, answered})
         if (const auto chosen = best(among))
@@ -280,7 +281,7 @@
     --queries.pending;
     if (report)
     {
-        m_targets.told(owner->rpc, *report, now - begin, now);
+        m_targets.record_report(owner->rpc, *report, now - begin, now);
         queries.answered_by(owner);
         m_load_inquiry.answered(report->load.value_or(0) >= 1);
     }
--- a/src/proxy/target_owner.cpp
+++ b/src/proxy/target_owner.cpp
@@ -78,7 +78,7 @@
                            const std::string& service,
                            const std::string& domain,
                            blackboard& board,
-                           const target_register& targets,
+                           const target_registry& targets,
                            worker& on,
                            const std::string& own_ip)
     : m_names(names)
@@ -109,10 +109,10 @@
            m_board.phase != node_phase::ending;
 }
 
-owner_word target_owner::current_load() const
+load_report target_owner::current_load() const
 {
     const auto* target = m_targets.in_use();
-    owner_word report;
+    load_report report;
     // An idle target that takes no calls must not attract them by a low load.
     report.load =
         takes_calls() ? m_admission.load() : std::max(1.0, m_admission.load());
@@ -127,13 +127,13 @@
         report.load = std::max(*report.load, m_cold_limiter.used(rate, now));
     }
     report.incoming_bytes = m_incoming.bytes();
-    report.is_pressed = m_worker.is_pressed();
+    report.is_saturated = m_worker.is_saturated();
     report.link_backlog =
         std::chrono::duration_cast<milliseconds>(link_backlog());
     return report;
 }
 
-owner_word target_owner::current_load_for(const work_class& work) const
+load_report target_owner::current_load_for(const work_class& work) const
 {
     constexpr double ms_per_s = 1000;
     const std::chrono::duration<double> run =
@@ -225,16 +225,17 @@
 }
 
 bool target_owner::may_probe(const owner_call& call,
-                             const call_hold& quarantine) const
+                             const call_quarantine& quarantine) const
 {
     return call.is_probe && m_active_probes == 0 &&
-           quarantine.may_be_tried(true);
+           quarantine.may_be_probed(true);
 }
 
-owner_answer target_owner::refuse_quarantined(const owner_call& call,
-                                              const call_hold& quarantine) const
+owner_answer
+target_owner::refuse_quarantined(const owner_call& call,
+                                 const call_quarantine& quarantine) const
 {
-    auto refused = refuse(call, ends_its_targets);
+    auto refused = refuse(call, crashes_its_targets);
     if (!call.is_probe)
         refused.retry_after = quarantine.left;
     refused.others_would_refuse = true;
@@ -320,7 +321,7 @@
     }
     const auto* target = m_targets.in_use();
     // Checked after the wait in the queue: crash records may have arrived.
-    const auto quarantine = hold_of(*m_board.suspects.get(), request);
+    const auto quarantine = quarantine_of(*m_board.poison_view.get(), request);
     if (quarantine && !may_probe(call, *quarantine))
     {
         m_admission.release(m_admission.mean_run());
@@ -401,7 +402,7 @@
         return client_left(call);
     // The wait for the connection may have used up the remaining time.
     if (steady_clock::now() >= call.deadline ||
-        m_targets.has_left(target.start()))
+        m_targets.has_departed(target.start()))
         return refuse(call, "too_late_to_send");
     auto sent = request_to_target(request, call, target);
     auto result =
@@ -409,7 +410,7 @@
                  {call.deadline, m_names.request_id, call.request_id}, scope);
     if (result.reusable)
     {
-        const auto idle_timeout = idle_seconds_told(*result.response);
+        const auto idle_timeout = keep_alive_timeout(*result.response);
         m_pool.give_back(target.where, std::move(*stream),
                          duration(idle_timeout.value_or(default_idle_timeout)) -
                              idle_margin);
@@ -459,10 +460,10 @@
         answer.retry_after = m_admission.retry_after();
         return answer;
     }
-    const bool has_proof =
-        m_names.proof.empty() || response.count(m_names.proof) != 0;
+    const bool is_sealed = m_names.success_seal.empty() ||
+                           response.count(m_names.success_seal) != 0;
     const bool is_encoded = response.count(http::field::content_encoding) != 0;
-    if (is_success(response) && (!has_proof || is_encoded))
+    if (is_success(response) && (!is_sealed || is_encoded))
     {
         answer.end = call_end::unknown;
         answer.reason = "a success that the target does not vouch for";
--- a/src/proxy/target_owner_crashes.cpp
+++ b/src/proxy/target_owner_crashes.cpp
@@ -37,7 +37,7 @@
 
 void target_owner::announce_good_run(const whole_request& request)
 {
-    const auto known = m_board.suspects.get();
+    const auto known = m_board.poison_view.get();
     if (known->empty() || !known->knows_head(head_fingerprint(request)))
         return;
     const auto call = fingerprint_of(request).text();
@@ -58,16 +58,16 @@
         m_on_change();
 }
 
-target_end target_owner::make_crash_record(const target_report& target)
+target_crash target_owner::make_crash_record(const target_report& target)
 {
-    target_end end;
+    target_crash end;
     end.target_id = target.start();
     end.at_ms = wall_clock_ms();
     std::set<std::string> calls;
     for (const auto* each : m_runs.active_requests())
     {
         if (!m_recent_good_runs.contain(*each) &&
-            calls.size() < target_end::most_calls)
+            calls.size() < target_crash::max_calls)
             calls.insert(fingerprint_of(*each).text());
         m_recent_good_runs.forget(*each);
     }
--- a/src/quota/quota_gate.cpp
+++ b/src/quota/quota_gate.cpp
@@ -18,9 +18,9 @@
     return m_unanswered_since && now >= *m_unanswered_since + ledger_timeout;
 }
 
-std::optional<duration> quota_gate::ask(const client_account& account,
-                                        std::size_t nodes,
-                                        time_point now)
+std::optional<duration> quota_gate::admit(const client_account& account,
+                                          std::size_t nodes,
+                                          time_point now)
 {
     if (!account.quota.is_limited())
         return std::nullopt;
@@ -76,7 +76,7 @@
     --counts.admitted;
 }
 
-std::optional<std::vector<quota_counts>> quota_gate::take_due()
+std::optional<std::vector<quota_counts>> quota_gate::take_due_counts()
 {
     // While limits are set, messages go on so that the entry receives their
     // end.
@@ -108,7 +108,7 @@
     }
 }
 
-void quota_gate::told(const std::vector<quota_limit>& limits)
+void quota_gate::set_limits(const std::vector<quota_limit>& limits)
 {
     m_unanswered_since.reset();
     m_own_buckets.clear();
@@ -117,7 +117,7 @@
         m_limits[each.account] = each;
 }
 
-void quota_gate::unanswered(time_point now)
+void quota_gate::note_unanswered(time_point now)
 {
     if (!m_unanswered_since)
         m_unanswered_since = now;
--- a/src/quota/limit_news.cpp
+++ b/src/quota/quota_limit_changes.cpp
@@ -1,4 +1,4 @@
-#include "tillerhall/quota/limit_news.hpp"
+#include "tillerhall/quota/quota_limit_changes.hpp"
 
 #include <algorithm>
 
@@ -13,7 +13,8 @@
 
 } // namespace
 
-bool limit_news::take(const std::vector<quota_limit>& limits, time_point now)
+bool quota_limit_changes::take(const std::vector<quota_limit>& limits,
+                               time_point now)
 {
     const bool is_due = std::ranges::any_of(
         limits,
--- a/src/rollout/release_baseline.cpp
+++ b/src/rollout/release_baseline.cpp
@@ -141,13 +141,13 @@
     const auto last =
         std::min(quantile_bucket(runs, slow_quantile) + slow_margin_buckets,
                  run_counts::buckets - 1);
-    latency.thresholds.usual = limited_threshold(last, lowest_load.usual);
+    latency.thresholds.slow = limited_threshold(last, lowest_load.slow);
     latency.thresholds.tail = limited_threshold(
         quantile_bucket(runs, tail_quantile), lowest_load.tail);
     const auto beyond = [&](std::size_t threshold)
     { return share_of(runs.longer_than(threshold), runs.timed()); };
     latency.slow_share =
-        std::max(min_slow_share, beyond(latency.thresholds.usual));
+        std::max(min_slow_share, beyond(latency.thresholds.slow));
     latency.tail_share =
         std::max(min_tail_share, beyond(latency.thresholds.tail));
     return latency;
@@ -162,8 +162,8 @@
 std::size_t release_baseline::slow_threshold(const work_class& work) const
 {
     const auto found = m_latencies.find(work);
-    return found == m_latencies.end() ? latency_baseline().thresholds.usual
-                                      : found->second.thresholds.usual;
+    return found == m_latencies.end() ? latency_baseline().thresholds.slow
+                                      : found->second.thresholds.slow;
 }
 
 double release_baseline::slow_share(const work_class& work) const
--- a/src/rollout/rollout_judge.cpp
+++ b/src/rollout/rollout_judge.cpp
@@ -143,7 +143,7 @@
     for (const auto& [work, thresholds] : m_baseline.current_thresholds())
     {
         auto& lowest = m_lowest_thresholds[work];
-        lowest.usual = std::min(lowest.usual, thresholds.usual);
+        lowest.slow = std::min(lowest.slow, thresholds.slow);
         lowest.tail = std::min(lowest.tail, thresholds.tail);
     }
 }
--- a/src/rollout/rollout_plan.cpp
+++ b/src/rollout/rollout_plan.cpp
@@ -42,26 +42,26 @@
     return stages[static_cast<std::size_t>(stage)];
 }
 
-bool has_enough_evidence(rollout_stage stage, const stage_evidence& seen)
+bool has_enough_evidence(rollout_stage stage, const stage_evidence& evidence)
 {
-    if (seen.ended < min_runs)
+    if (evidence.ended < min_runs)
         return false;
     const auto& settings = settings_of(stage);
-    if (settings.needs_noninferiority && !seen.is_noninferior)
+    if (settings.needs_noninferiority && !evidence.is_noninferior)
         return false;
     return !settings.needs_all_classes ||
-           (seen.timed >= min_runs && seen.has_every_class);
+           (evidence.timed >= min_runs && evidence.has_every_class);
 }
 
 } // namespace
 
 stage_allowance
-allowance_of(rollout_stage stage, double exposure, std::size_t settled_targets)
+allowance_of(rollout_stage stage, double exposure, std::size_t stable_targets)
 {
     constexpr double half = 0.5;
     const auto& settings = settings_of(stage);
     const double share = settings.share > 0 ? settings.share : exposure * half;
-    const double load = share * static_cast<double>(settled_targets);
+    const double load = share * static_cast<double>(stable_targets);
     // Rounded down in the first stages, where each canary target gets no less
     // than a stable one.
     const double wanted =
@@ -86,14 +86,14 @@
         return rollout_move::give_up;
     const auto min_duration =
         is_last ? min_last_stage_duration : min_stage_duration;
-    if (progress.wanted_targets == 0 ||
+    if (progress.canary_targets == 0 ||
         now < progress.stage_begun + min_duration ||
         now < time_at(settings_of(known.stage).end))
         return rollout_move::wait;
     if (is_last)
-        return progress.settled_is_idle ? rollout_move::complete
-                                        : rollout_move::wait;
-    return has_enough_evidence(known.stage, progress.seen)
+        return progress.stable_is_idle ? rollout_move::complete
+                                       : rollout_move::wait;
+    return has_enough_evidence(known.stage, progress.evidence)
                ? rollout_move::next_stage
                : rollout_move::wait;
 }
--- a/src/rollout/rollout_record.cpp
+++ b/src/rollout/rollout_record.cpp
@@ -34,7 +34,7 @@
 {
     auto closed = before.closed;
     if (before.state != rollout_state::completed &&
-        before.order.release != before.settled)
+        before.order.release != before.stable)
         add_names(closed, {before.order.release}, rollout_record::max_closed);
     return closed;
 }
@@ -42,8 +42,8 @@
 bool replace(rollout_record& known, const rollout_record& offered)
 {
     auto next = offered;
-    if (next.settled.empty())
-        next.settled = stable_release(known);
+    if (next.stable.empty())
+        next.stable = stable_release(known);
     add_names(next.closed, closed_after(known), rollout_record::max_closed);
     // A new order reopens its release.
     std::erase(next.closed, next.order.release);
@@ -94,13 +94,13 @@
         known.reason = offered.reason;
         changed = true;
     }
-    if (known.settled.empty() && !offered.settled.empty())
+    if (known.stable.empty() && !offered.stable.empty())
     {
-        known.settled = offered.settled;
+        known.stable = offered.stable;
         changed = true;
     }
     known.begun = std::min(known.begun, offered.begun);
-    changed |= add_names(known.suspects, offered.suspects,
+    changed |= add_names(known.regressed_targets, offered.regressed_targets,
                          rollout_record::max_regressed_targets);
     changed |=
         add_names(known.closed, offered.closed, rollout_record::max_closed);
@@ -113,7 +113,7 @@
         release == known.order.release)
         return true;
     // Targets of the old release may stop without notice in this state.
-    if (known.state == rollout_state::completed && release == known.settled &&
+    if (known.state == rollout_state::completed && release == known.stable &&
         release != known.order.release)
         return true;
     return std::ranges::find(known.closed, release) != known.closed.end();
@@ -122,7 +122,7 @@
 const std::string& stable_release(const rollout_record& known)
 {
     return known.state == rollout_state::completed ? known.order.release
-                                                   : known.settled;
+                                                   : known.stable;
 }
 
 json::value to_json(const rollout_record& sent, time_point now)
@@ -132,11 +132,11 @@
                        sent.order.time.count(),
                        sent.order.revision,
                        to_ms(now - sent.begun),
-                       sent.settled,
+                       sent.stable,
                        static_cast<int>(sent.state),
                        static_cast<int>(sent.stage),
                        sent.reason,
-                       json::value_from(sent.suspects),
+                       json::value_from(sent.regressed_targets),
                        json::value_from(sent.closed)};
 }
 
@@ -153,11 +153,12 @@
     read.order.time = span_from(cells.at(next++));
     read.order.revision = json::value_to<std::uint64_t>(cells.at(next++));
     read.begun = now - span_from(cells.at(next++));
-    read.settled = text();
+    read.stable = text();
     read.state = enum_from(cells.at(next++), rollout_state::completed);
     read.stage = enum_from(cells.at(next++), rollout_stage::all);
     read.reason = text();
-    read.suspects = json::value_to<std::vector<std::string>>(cells.at(next++));
+    read.regressed_targets =
+        json::value_to<std::vector<std::string>>(cells.at(next++));
     read.closed = json::value_to<std::vector<std::string>>(cells.at(next++));
     return read;
 }
--- a/src/rollout/rollout_view.cpp
+++ b/src/rollout/rollout_view.cpp
@@ -9,7 +9,7 @@
     return found == m_records.end() ? nullptr : &found->second;
 }
 
-std::string rollout_view::settled(const std::string& service) const
+std::string rollout_view::stable(const std::string& service) const
 {
     const auto* known = find(service);
     if (known != nullptr && !stable_release(*known).empty())
@@ -25,31 +25,31 @@
     return known != nullptr && tillerhall::is_closed(*known, release);
 }
 
-release_standing rollout_view::standing(const std::string& service,
-                                        const std::string& release,
-                                        const std::string& settled) const
+release_status rollout_view::status_of(const std::string& service,
+                                       const std::string& release,
+                                       const std::string& stable) const
 {
     if (is_closed(service, release))
-        return release_standing::closed;
-    if (release == settled)
-        return release_standing::settled;
+        return release_status::closed;
+    if (release == stable)
+        return release_status::stable;
     const auto* known = find(service);
     if (known == nullptr || is_ended(known->state))
-        return release_standing::guest;
+        return release_status::unordered;
     if (known->state == rollout_state::unread)
-        return release_standing::closed; // may have been rolled back before
-    return release == known->order.release ? release_standing::trial
-                                           : release_standing::closed;
+        return release_status::closed; // may have been rolled back before
+    return release == known->order.release ? release_status::canary
+                                           : release_status::closed;
 }
 
-stage_allowance rollout_view::terms(const std::string& service,
-                                    std::size_t settled_targets) const
+stage_allowance rollout_view::allowance(const std::string& service,
+                                        std::size_t stable_targets) const
 {
     const auto* known = find(service);
     const auto stage = known == nullptr || is_ended(known->state)
                            ? rollout_stage::spread
                            : known->stage;
-    return allowance_of(stage, m_exposure, settled_targets);
+    return allowance_of(stage, m_exposure, stable_targets);
 }
 
 } // namespace tillerhall
--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -78,7 +78,7 @@
 void admission::start_one()
 {
     ++m_in_flight;
-    m_most_in_flight = std::max(m_most_in_flight, m_in_flight);
+    m_peak_in_flight = std::max(m_peak_in_flight, m_in_flight);
 }
 
 void admission::enqueue(admission_waiter& waiter)
--- a/src/routing/cold_gate.cpp
+++ b/src/routing/cold_rate_limiter.cpp
@@ -1,34 +1,34 @@
-#include "tillerhall/routing/cold_gate.hpp"
+#include "tillerhall/routing/cold_rate_limiter.hpp"
 
 #include <algorithm>
 
 namespace tillerhall
 {
 
-std::size_t cold_gate::most_of(double per_s) noexcept
+std::size_t cold_rate_limiter::most_of(double per_s) noexcept
 {
     return static_cast<std::size_t>(std::max(1.0, per_s));
 }
 
-void cold_gate::forget_old(time_point now)
+void cold_rate_limiter::forget_old(time_point now)
 {
     while (!m_sent.empty() && m_sent.front() + window <= now)
         m_sent.pop_front();
 }
 
-void cold_gate::sent(time_point now)
+void cold_rate_limiter::sent(time_point now)
 {
     forget_old(now);
     m_sent.push_back(now);
 }
 
-bool cold_gate::has_room(double per_s, time_point now)
+bool cold_rate_limiter::has_room(double per_s, time_point now)
 {
     forget_old(now);
     return now >= m_started + window && m_sent.size() < most_of(per_s);
 }
 
-double cold_gate::used(double per_s, time_point now)
+double cold_rate_limiter::used(double per_s, time_point now)
 {
     forget_old(now);
     if (now < m_started + window)
@@ -37,7 +37,7 @@
            static_cast<double>(most_of(per_s));
 }
 
-duration cold_gate::wait(double per_s, time_point now)
+duration cold_rate_limiter::wait(double per_s, time_point now)
 {
     if (has_room(per_s, now))
         return duration::zero();
--- a/src/routing/fleet_budget.cpp
+++ b/src/routing/fleet_retry_budget.cpp
@@ -1,11 +1,12 @@
-#include "tillerhall/routing/fleet_budget.hpp"
+#include "tillerhall/routing/fleet_retry_budget.hpp"
 
 #include <algorithm>
 
 namespace tillerhall
 {
 
-void fleet_budget::call(const fleet_budget_limits& limits, std::size_t members)
+void fleet_retry_budget::call(const fleet_retry_budget_limits& limits,
+                              std::size_t members)
 {
     const auto nodes = static_cast<double>(std::max<std::size_t>(1, members));
     const double most = std::max(1.0, limits.extra / nodes) * spent_part;
@@ -14,7 +15,7 @@
         std::min(std::max(1.0, most), m_saved + limits.ratio * spent_part);
 }
 
-bool fleet_budget::take()
+bool fleet_retry_budget::take()
 {
     if (m_saved < 1)
         return false;
--- a/src/routing/load_inquiry.cpp
+++ b/src/routing/load_inquiry.cpp
@@ -21,15 +21,15 @@
 } // namespace
 
 std::vector<std::size_t>
-load_inquiry::whom_to_ask(std::span<const owner_outlook> owners,
-                          std::size_t favourite,
-                          time_point now,
-                          random_source& random)
+load_inquiry::owners_to_ask(std::span<const owner_estimate> owners,
+                            std::size_t preferred,
+                            time_point now,
+                            random_source& random)
 {
     if (owners.size() <= small_service)
         return {};
     const auto with_room =
-        std::ranges::count_if(owners, [](const owner_outlook& each)
+        std::ranges::count_if(owners, [](const owner_estimate& each)
                               { return each.is_known && each.has_room; });
     if (static_cast<std::size_t>(with_room) >= enough_known)
         return {};
@@ -37,9 +37,9 @@
     std::vector<std::size_t> far;
     std::vector<std::size_t> asked;
     for (std::size_t i = 0; i < owners.size(); ++i)
-        if (owners[i].is_known || owners[i].is_left_out)
+        if (owners[i].is_known || owners[i].is_excluded)
             continue;
-        else if (i == favourite)
+        else if (i == preferred)
             asked.push_back(i);
         else
             (owners[i].is_near ? near : far).push_back(i);
--- a/src/routing/suspect_calls.cpp
+++ b/src/routing/poison_calls.cpp
@@ -1,4 +1,4 @@
-#include "tillerhall/routing/suspect_calls.hpp"
+#include "tillerhall/routing/poison_calls.hpp"
 #include "tillerhall/core/digest.hpp"
 
 #include <algorithm>
@@ -16,7 +16,7 @@
 // Crashes further apart than this belong to different rounds.
 constexpr milliseconds round_gap(2'500);
 
-std::size_t rounds_of(const std::vector<ends_under_call::crash>& in_order)
+std::size_t rounds_of(const std::vector<crashes_under_call::crash>& in_order)
 {
     const auto is_apart = [](const auto& before, const auto& after)
     { return milliseconds(after.at_ms - before.at_ms) > round_gap; };
@@ -31,9 +31,9 @@
     // Enough to reach the longest quarantine, and no overflow of the shift.
     constexpr std::size_t most_doublings = 10;
     const auto doublings = std::min(rounds - 1, most_doublings);
-    return std::min<milliseconds>(suspect_calls::first_quarantine *
+    return std::min<milliseconds>(poison_calls::first_quarantine *
                                       (1U << doublings),
-                                  suspect_calls::longest_quarantine);
+                                  poison_calls::longest_quarantine);
 }
 
 /** @return the age of @p at_ms; zero if a remote clock is ahead. */
@@ -44,7 +44,7 @@
 
 } // namespace
 
-suspect_calls::suspect_calls(const member_list& members)
+poison_calls::poison_calls(const member_list& members)
 {
     std::map<std::string, std::uint64_t, std::less<>> cleared;
     for (const auto& each : members.ordered())
@@ -54,63 +54,67 @@
             until = std::max(until, run.at_ms + clock_slack_ms);
         }
     for (const auto& each : members.ordered())
-        for (const auto& crash : each.record->target_ends)
+        for (const auto& crash : each.record->target_crashes)
             for (const auto& call : crash.calls)
             {
                 const auto until = cleared.find(call);
                 if (until != cleared.end() && crash.at_ms <= until->second)
                     continue;
-                m_calls[call].ends.push_back({each.record->rpc, crash.at_ms});
+                m_calls[call].crashes.push_back(
+                    {each.record->rpc, crash.at_ms});
             }
 }
 
-bool suspect_calls::knows_head(std::string_view head) const
+bool poison_calls::knows_head(std::string_view head) const
 {
     const auto found = m_calls.lower_bound(head);
     return found != m_calls.end() && found->first.starts_with(head);
 }
 
-const ends_under_call* suspect_calls::find(const std::string& call) const
+const crashes_under_call* poison_calls::find(const std::string& call) const
 {
     const auto found = m_calls.find(call);
     return found == m_calls.end() ? nullptr : &found->second;
 }
 
-std::optional<call_hold>
-suspect_calls::hold_of(const std::string& call,
-                       const std::vector<address>& crashed_at,
-                       std::uint64_t now_ms) const
+std::optional<call_quarantine>
+poison_calls::quarantine_of(const std::string& call,
+                            const std::vector<address>& crashed_at,
+                            std::uint64_t now_ms) const
 {
     const auto* known = find(call);
-    auto ends =
-        known == nullptr ? std::vector<ends_under_call::crash>{} : known->ends;
-    std::erase_if(ends, [&](const auto& each)
+    auto crashes = known == nullptr ? std::vector<crashes_under_call::crash>{}
+                                    : known->crashes;
+    std::erase_if(crashes, [&](const auto& each)
                   { return age_of(each.at_ms, now_ms) > longest_quarantine; });
     for (const auto& owner : crashed_at)
-        if (std::ranges::find(ends, owner, &ends_under_call::crash::owner) ==
-            ends.end())
-            ends.push_back({owner, now_ms});
-    if (ends.size() < crashes_to_quarantine)
+        if (std::ranges::find(crashes, owner,
+                              &crashes_under_call::crash::owner) ==
+            crashes.end())
+            crashes.push_back({owner, now_ms});
+    if (crashes.size() < crashes_to_quarantine)
         return std::nullopt;
-    std::ranges::sort(ends, {}, &ends_under_call::crash::at_ms);
-    const auto rounds = rounds_of(ends);
-    const auto since_crash = age_of(ends.back().at_ms, now_ms);
+    std::ranges::sort(crashes, {}, &crashes_under_call::crash::at_ms);
+    const auto rounds = rounds_of(crashes);
+    const auto since_crash = age_of(crashes.back().at_ms, now_ms);
     const auto left =
         std::max(quarantine_after(rounds) - since_crash, milliseconds::zero());
-    return call_hold{left, since_crash, rounds};
+    return call_quarantine{left, since_crash, rounds};
 }
 
-std::vector<std::string> suspect_calls::newly_held(const suspect_calls& before,
-                                                   std::uint64_t now_ms) const
+std::vector<std::string>
+poison_calls::newly_quarantined(const poison_calls& before,
+                                std::uint64_t now_ms) const
 {
     std::vector<std::string> quarantined;
     for (const auto& [call, known] : m_calls)
-        if (hold_of(call, {}, now_ms) && !before.hold_of(call, {}, now_ms))
+        if (quarantine_of(call, {}, now_ms) &&
+            !before.quarantine_of(call, {}, now_ms))
             quarantined.push_back(call);
     return quarantined;
 }
 
-member_ptr trial_owner(const std::vector<member_ptr>& owners,
+member_ptr probe_owner(const std::vector<member_ptr>& owners,
                        const std::string& call)
 {
     const auto weight = [&](const member_ptr& each)
--- a/src/routing/refusal_memory.cpp
+++ b/src/routing/refusal_cache.cpp
@@ -1,15 +1,15 @@
-#include "tillerhall/routing/refusal_memory.hpp"
+#include "tillerhall/routing/refusal_cache.hpp"
 
 #include <algorithm>
 
 namespace tillerhall
 {
 
-void refusal_memory::refused(const address& owner,
-                             const refused_work& work,
-                             duration retry_after,
-                             double point,
-                             time_point now)
+void refusal_cache::refused(const address& owner,
+                            const refused_work& work,
+                            duration retry_after,
+                            double point,
+                            time_point now)
 {
     const auto longest = std::min<duration>(retry_after, longest_pause);
     const double part = least_part + (1 - least_part) * point;
@@ -17,9 +17,9 @@
     m_refusals[work][owner] = {now + pause, pause, retry_after};
 }
 
-void refusal_memory::asked(const address& owner,
-                           const refused_work& work,
-                           time_point now)
+void refusal_cache::asked(const address& owner,
+                          const refused_work& work,
+                          time_point now)
 {
     const auto by_owner = m_refusals.find(work);
     if (by_owner == m_refusals.end())
@@ -29,15 +29,15 @@
         known->second.until = now + known->second.pause;
 }
 
-void refusal_memory::admitted(const address& owner, const refused_work& work)
+void refusal_cache::admitted(const address& owner, const refused_work& work)
 {
     const auto by_owner = m_refusals.find(work);
     if (by_owner != m_refusals.end())
         by_owner->second.erase(owner);
 }
 
-std::vector<address> refusal_memory::refusing(const refused_work& work,
-                                              time_point now)
+std::vector<address> refusal_cache::refusing(const refused_work& work,
+                                             time_point now)
 {
     const auto found = m_refusals.find(work);
     if (found == m_refusals.end())
@@ -51,8 +51,8 @@
     return owners;
 }
 
-duration refusal_memory::retry_after(const refused_work& work,
-                                     time_point now) const
+duration refusal_cache::retry_after(const refused_work& work,
+                                    time_point now) const
 {
     const auto found = m_refusals.find(work);
     duration shortest{};
--- a/src/routing/service_targets.cpp
+++ b/src/routing/service_targets.cpp
@@ -52,8 +52,8 @@
 {
     const auto* known = rollouts.find(service);
     return known != nullptr &&
-           std::ranges::find(known->suspects, checked.target_id) !=
-               known->suspects.end();
+           std::ranges::find(known->regressed_targets, checked.target_id) !=
+               known->regressed_targets.end();
 }
 
 bool has_all_calls(const rollout_view& rollouts, const std::string& service)
@@ -94,20 +94,20 @@
     if (counts.empty() ||
         (counts.size() == 1 && rollouts.find(service) == nullptr))
         return;
-    auto stable_release = rollouts.settled(service);
+    auto stable_release = rollouts.stable(service);
     if (stable_release.empty())
         stable_release = majority_release(service, counts, rollouts);
-    const auto standing = [&](const member_ptr& each)
+    const auto status_of = [&](const member_ptr& each)
     {
         return each->release.empty()
-                   ? release_standing::settled
-                   : rollouts.standing(service, each->release, stable_release);
+                   ? release_status::stable
+                   : rollouts.status_of(service, each->release, stable_release);
     };
-    std::map<release_standing, std::vector<member_ptr>> parts;
+    std::map<release_status, std::vector<member_ptr>> parts;
     for (const auto& each : members)
-        parts[standing(each)].push_back(each);
-    auto& stable = parts[release_standing::settled];
-    auto& ordered = parts[release_standing::trial];
+        parts[status_of(each)].push_back(each);
+    auto& stable = parts[release_status::stable];
+    auto& ordered = parts[release_status::canary];
     // In the last step the old release gets no more calls, unless no other
     // target can take them.
     const bool moves = has_all_calls(rollouts, service) &&
@@ -116,16 +116,16 @@
         std::erase_if(leaving->second,
                       [&](const member_ptr& each)
                       {
-                          return standing(each) !=
-                                 (moves ? release_standing::trial
-                                        : release_standing::settled);
+                          return status_of(each) !=
+                                 (moves ? release_status::canary
+                                        : release_status::stable);
                       });
     if (moves)
     {
         members = std::move(ordered);
         return;
     }
-    auto& others = parts[release_standing::guest];
+    auto& others = parts[release_status::unordered];
     if (stable.empty() && ordered.empty())
     {
         members = std::move(others);
@@ -149,9 +149,9 @@
     std::ranges::sort(canaries, {},
                       [](const member_ptr& each)
                       { return stable_hash(each->target_id); });
-    const auto terms = rollouts.terms(service, stable_targets);
-    canaries.resize(std::min(canaries.size(), terms.targets));
-    m_canaries[service] = {std::move(canaries), terms.share};
+    const auto allowance = rollouts.allowance(service, stable_targets);
+    canaries.resize(std::min(canaries.size(), allowance.targets));
+    m_canaries[service] = {std::move(canaries), allowance.share};
 }
 
 const std::vector<member_ptr>& service_targets::find(const by_service& in,
@@ -175,7 +175,7 @@
 }
 
 const canary_targets&
-service_targets::on_trial(const std::string& service) const
+service_targets::canaries_of(const std::string& service) const
 {
     static const canary_targets none;
     const auto found = m_canaries.find(service);
--- a/src/routing/target_board.cpp
+++ b/src/routing/target_board.cpp
@@ -322,7 +322,7 @@
 }
 
 void target_board::take_report(record& target,
-                               const owner_word& report,
+                               const load_report& report,
                                time_point now)
 {
     if (report.slots > 0)
@@ -334,13 +334,13 @@
     target.reported_at = now;
 }
 
-owner_outlook target_board::outlook(const member& owner,
-                                    const call_origin& from,
-                                    time_point now)
+owner_estimate target_board::estimate(const member& owner,
+                                      const call_origin& from,
+                                      time_point now)
 {
     const std::lock_guard lock(m_mutex);
     const auto& known = record_of(owner.rpc, now);
-    owner_outlook seen;
+    owner_estimate seen;
     seen.is_near = from.place != nullptr && *from.place == owner.place;
     const auto run = known.run_ms.find(from.work);
     const double run_ms = run == known.run_ms.end() ? 0 : run->second;
@@ -375,10 +375,10 @@
     return m_answers.of(work, 0);
 }
 
-void target_board::told(const address& owner,
-                        const owner_word& report,
-                        duration round_trip,
-                        time_point now)
+void target_board::record_report(const address& owner,
+                                 const load_report& report,
+                                 duration round_trip,
+                                 time_point now)
 {
     const std::lock_guard lock(m_mutex);
     auto& target = record_of(owner, now);
