--- a/src/targets/target_register.cpp
+++ b/src/targets/target_registry.cpp
@@ -1,4 +1,4 @@
-#include "tillerhall/targets/target_register.hpp"
+#include "tillerhall/targets/target_registry.hpp"
 
 #include <algorithm>
 #include <array>
@@ -18,14 +18,14 @@
     return verdict_names[static_cast<std::size_t>(verdict)];
 }
 
-bool target_register::has_left(const std::string& start) const
+bool target_registry::has_departed(const std::string& start) const
 {
     return std::ranges::find(m_left, start) != m_left.end();
 }
 
-bool target_register::mark_left(const std::string& start)
+bool target_registry::record_departure(const std::string& start)
 {
-    if (!has_left(start))
+    if (!has_departed(start))
         m_left.push_back(start);
     if (m_left.size() > most_departures)
         m_left.erase(m_left.begin());
@@ -36,7 +36,7 @@
     return was_used;
 }
 
-report_verdict target_register::take_leaving(const target_report& report)
+report_verdict target_registry::take_leaving(const target_report& report)
 {
     // A departure that does not identify its start means the current one.
     const bool has_no_start =
@@ -44,13 +44,13 @@
     const auto start = has_no_start ? m_current->start() : report.start();
     auto& sequence = m_sequences[start];
     sequence = std::max(sequence, report.sequence);
-    const bool known = has_left(start);
-    if (mark_left(start))
+    const bool known = has_departed(start);
+    if (record_departure(start))
         return report_verdict::closed;
     return known ? report_verdict::unchanged : report_verdict::closed;
 }
 
-bool target_register::is_outdated(const target_report& report,
+bool target_registry::is_outdated(const target_report& report,
                                   time_point now) const
 {
     // A clock that was set back can make a later start seem the earlier one: it
@@ -60,7 +60,7 @@
            now < m_last_report_at + silent_after;
 }
 
-report_verdict target_register::take(const target_report& report,
+report_verdict target_registry::take(const target_report& report,
                                      time_point now)
 {
     // A departure is final, however late its report arrives.
@@ -68,7 +68,7 @@
         return take_leaving(report);
     const auto start = report.start();
     const auto seen = m_sequences.find(start);
-    if (has_left(start) || is_outdated(report, now) ||
+    if (has_departed(start) || is_outdated(report, now) ||
         (seen != m_sequences.end() && report.sequence <= seen->second))
         return report_verdict::stale;
     m_sequences[start] = report.sequence;
@@ -87,12 +87,12 @@
     return same ? report_verdict::unchanged : report_verdict::changed;
 }
 
-const target_report* target_register::in_use() const noexcept
+const target_report* target_registry::in_use() const noexcept
 {
     return m_departures_known && m_current ? &*m_current : nullptr;
 }
 
-const target_report* target_register::newest() const noexcept
+const target_report* target_registry::newest() const noexcept
 {
     return m_current ? &*m_current : nullptr;
 }
--- a/standins/platform_standin/reporting_target.cpp
+++ b/standins/platform_standin/reporting_target.cpp
@@ -75,31 +75,31 @@
 
 bool reporting_target::must_fail(std::string_view path)
 {
-    if (!path.starts_with(m_tricks.failing_prefix) ||
-        m_running < m_tricks.failing_load ||
-        steady_clock::now() < m_tricks.failing_from)
+    if (!path.starts_with(m_faults.failing_prefix) ||
+        m_running < m_faults.failing_concurrency ||
+        steady_clock::now() < m_faults.failing_from)
         return false;
-    m_failure_carry += m_tricks.failing;
+    m_failure_carry += m_faults.failing;
     if (m_failure_carry < 1)
         return false;
     --m_failure_carry;
     return true;
 }
 
-void reporting_target::start_again(std::string id)
+void reporting_target::restart(std::string id)
 {
     m_id = std::move(id);
     m_sequence = 0;
-    if (!std::exchange(m_has_ended, false))
+    if (!std::exchange(m_has_crashed, false))
         return;
     m_listener = std::move(*listener::open(m_worker, m_where));
     m_listener->start([this](tcp_stream& stream) { serve(stream); });
 }
 
-void reporting_target::end()
+void reporting_target::crash()
 {
-    ++m_times_ended;
-    m_has_ended = true;
+    ++m_crash_count;
+    m_has_crashed = true;
     m_listener->close();
     // The accept fiber still uses the listener, so it must not be destroyed.
     m_closed_listeners.push_back(std::move(m_listener));
@@ -116,7 +116,7 @@
                                   const std::string& state,
                                   std::uint64_t sequence)
 {
-    if (m_has_ended)
+    if (m_has_crashed)
         return 0;
     boost::json::object body{
         {"service", m_service}, {"address", where().text()},
@@ -163,7 +163,7 @@
 {
     if (call.head()["X-Expect-Instance"] != m_id)
         return read_rest(call) && send(call, 421, true);
-    if (consume(m_tricks.early_answers))
+    if (consume(m_faults.early_answers))
     {
         m_runs.push_back(
             {std::string(call.head()[id_field]), "", "", "", "", {}, "", ""});
@@ -171,7 +171,7 @@
     }
     if (!read_rest(call))
         return false;
-    if (consume(m_tricks.shed))
+    if (consume(m_faults.shed))
         return send(call, 503, true);
     m_runs.push_back({std::string(call.head()[id_field]),
                       std::string(call.head()["X-Caller-Service"]),
@@ -179,22 +179,22 @@
                       std::string(call.head()["X-Deadline-Ms"]),
                       steady_clock::now(), std::string(call.head()["X-Tenant"]),
                       std::string(call.head()["Authorization"])});
-    const auto crashes_before = m_times_ended;
+    const auto crashes_before = m_crash_count;
     ++m_running;
     const bool injected_failure = must_fail(call.head().target());
-    const bool crashes = call.head().target() == m_tricks.ends_under;
-    sleep_for(m_worker.io(), m_tricks.work);
+    const bool crashes = call.head().target() == m_faults.crash_path;
+    sleep_for(m_worker.io(), m_faults.work);
     --m_running;
-    if (crashes && !m_has_ended)
-        end();
-    if (crashes_before != m_times_ended)
+    if (crashes && !m_has_crashed)
+        crash();
+    if (crashes_before != m_crash_count)
         return false;
-    if (consume(m_tricks.reset_answers))
+    if (consume(m_faults.reset_answers))
     {
         reset(call.stream());
         return false;
     }
-    const bool fails = consume(m_tricks.fail) || injected_failure;
+    const bool fails = consume(m_faults.fail) || injected_failure;
     return send(call, fails ? 500 : 200, false);
 }
 
@@ -205,15 +205,15 @@
     response.set("X-Instance-Id", m_id);
     if (not_run)
         response.set("X-Not-Executed", "1");
-    else if (!consume(m_tricks.unproved_answers))
+    else if (!consume(m_faults.unsealed_answers))
         response.set(seal_field, "proof-" + m_id);
     response.body() = "answer to " + std::string(call.head()[id_field]);
     response.prepare_payload();
     auto text = text_of(response);
-    const bool truncated = consume(m_tricks.short_answers);
+    const bool truncated = consume(m_faults.truncated_answers);
     if (truncated)
         text.resize(text.size() - 3);
-    else if (consume(m_tricks.late_answers))
+    else if (consume(m_faults.duplicate_answers))
         text += text;
     boost::system::error_code failed;
     call.stream().expires_after(idle_timeout);
--- a/standins/platform_standin/reporting_target.hpp
+++ b/standins/platform_standin/reporting_target.hpp
@@ -16,21 +16,21 @@
 {
 
 /** Injected behaviour. A count applies to so many of the next requests. */
-struct target_tricks
+struct target_faults
 {
-    milliseconds work{2};          ///< duration of one run
-    unsigned late_answers = 0;     ///< sends the response twice
-    unsigned reset_answers = 0;    ///< runs, then resets the connection
-    unsigned short_answers = 0;    ///< closes in the middle of the body
-    unsigned unproved_answers = 0; ///< omits the X-Response-Seal header
-    unsigned shed = 0;             ///< answers 503 with X-Not-Executed
-    unsigned fail = 0;             ///< runs, then answers 500
-    unsigned early_answers = 0;    ///< answers before reading the body
-    std::string ends_under;        ///< path whose run crashes the target
-    double failing = 0;            ///< share of runs that answer 500
-    std::string failing_prefix;    ///< only paths with this prefix fail
-    unsigned failing_load = 0;     ///< at least so many concurrent runs
-    time_point failing_from{};     ///< no run fails before this time
+    milliseconds work{2};             ///< duration of one run
+    unsigned duplicate_answers = 0;   ///< sends the response twice
+    unsigned reset_answers = 0;       ///< runs, then resets the connection
+    unsigned truncated_answers = 0;   ///< closes in the middle of the body
+    unsigned unsealed_answers = 0;    ///< omits the X-Response-Seal header
+    unsigned shed = 0;                ///< answers 503 with X-Not-Executed
+    unsigned fail = 0;                ///< runs, then answers 500
+    unsigned early_answers = 0;       ///< answers before reading the body
+    std::string crash_path;           ///< path whose run crashes the target
+    double failing = 0;               ///< share of runs that answer 500
+    std::string failing_prefix;       ///< only paths with this prefix fail
+    unsigned failing_concurrency = 0; ///< at least so many concurrent runs
+    time_point failing_from{};        ///< no run fails before this time
 };
 
 /** One recorded run. */
@@ -60,18 +60,18 @@
     void set_cold_for(milliseconds span) { m_cold_for = span; }
     /** Sets the start time in its reports, Unix milliseconds; 0 omits it. */
     void set_start_time_ms(std::uint64_t at) { m_start_time_ms = at; }
-    target_tricks& tricks() noexcept { return m_tricks; }
+    target_faults& faults() noexcept { return m_faults; }
     const std::vector<target_run>& runs() const noexcept { return m_runs; }
 
     /** Restarts with a new instance id at the same address. */
-    void start_again(std::string id);
+    void restart(std::string id);
 
     /** Simulates a crash: resets all connections and closes the listener. */
-    void end();
+    void crash();
 
     /** Number of crashes, and whether it is down since the last one. */
-    unsigned times_ended() const noexcept { return m_times_ended; }
-    bool has_ended() const noexcept { return m_has_ended; }
+    unsigned crash_count() const noexcept { return m_crash_count; }
+    bool has_crashed() const noexcept { return m_has_crashed; }
 
     /** Reports "ready" or "draining". @return HTTP status, 0 if unanswered. */
     unsigned report(const address& to, const std::string& state);
@@ -102,13 +102,13 @@
     std::uint64_t m_start_time_ms = 0;
     unsigned m_running = 0;
     double m_failure_carry = 0; ///< fraction of a failure, for the next run
-    target_tricks m_tricks;
+    target_faults m_faults;
     std::vector<target_run> m_runs;
     std::uint64_t m_sequence = 0;
     std::set<tcp_stream*> m_streams; ///< open connections
     std::vector<std::unique_ptr<listener>> m_closed_listeners;
-    unsigned m_times_ended = 0;
-    bool m_has_ended = false;
+    unsigned m_crash_count = 0;
+    bool m_has_crashed = false;
 };
 
 } // namespace tillerhall
--- a/tests/integration/batched_announcements.cpp
+++ b/tests/integration/batched_announcements.cpp
@@ -95,7 +95,7 @@
                 if (system.hosts()[i].domain == system.hosts().back().domain)
                     system.hosts()[i].node.kill();
             auto& host = system.hosts().back();
-            host.target->start_again("i-next");
+            host.target->restart("i-next");
             REQUIRE(host.target->report(host.at["operators"], "ready") == 200);
             auto& from = system.hosts().front();
             auto& other = from.domain == host.domain ? system.hosts()[1] : from;
--- a/tests/integration/call_session.cpp
+++ b/tests/integration/call_session.cpp
@@ -29,7 +29,7 @@
             host.is_stopping = [] { return false; };
             auto server = listener::open(on, {"127.0.0.1", 0});
             REQUIRE(server);
-            (*server)->start_taking(
+            (*server)->start_accepting(
                 [&](std::shared_ptr<tcp_stream> stream)
                 { call_session::serve(on, std::move(stream), host); });
             auto client = connect_stream(on.io(), (*server)->local(),
--- a/tests/integration/claims.cpp
+++ b/tests/integration/claims.cpp
@@ -211,7 +211,8 @@
             for (std::size_t i = 0; i < 4; ++i)
             {
                 REQUIRE(system.restart(i));
-                REQUIRE(system.wait_until([&] { return system.knows_all(i); }));
+                REQUIRE(system.wait_until(
+                    [&] { return system.knows_all_targets(i); }));
             }
             caller from(on.io(), system.nodes()[2].caller);
             const auto again = from.call(sale("after", "k1"));
--- a/tests/integration/distribution.cpp
+++ b/tests/integration/distribution.cpp
@@ -149,7 +149,7 @@
                 [&]
                 {
                     for (std::size_t i = 0; i < 9; ++i)
-                        if (!system.knows_all(i))
+                        if (!system.knows_all_targets(i))
                             return false;
                     return true;
                 }));
@@ -305,7 +305,8 @@
             const auto added = system.add_node({"nieuw", "polder-a"});
             system.nodes()[added].target = system.nodes()[0].target;
             REQUIRE(system.restart(added));
-            REQUIRE(system.wait_until([&] { return system.knows_all(0); }));
+            REQUIRE(
+                system.wait_until([&] { return system.knows_all_targets(0); }));
             const auto with = system.accept(
                 0, system.csv() + "nieuw,polder-a,1,1,1,1,0,1000,1,no\n", 1,
                 "with");
@@ -360,8 +361,9 @@
             CHECK((first.outcome == "not-run" || system.version(2) == 2));
             CHECK(system.wait_until([&] { return system.version(2) == 2; }));
             CHECK(system.wait_until(
-                [&] {
-                    return system.knows_all(0) &&
+                [&]
+                {
+                    return system.knows_all_targets(0) &&
                            from.call({"perceel", "later"}).is_good();
                 }));
         });
--- a/tests/integration/mesh_node.cpp
+++ b/tests/integration/mesh_node.cpp
@@ -158,7 +158,7 @@
             for (const auto& run : host.target->runs())
                 CHECK(run.id == "warm");
             // A restarted target at the same node gets calls again.
-            host.target->start_again("i-next");
+            host.target->restart("i-next");
             host.target->report(host.at["operators"], "ready");
             CHECK(system.wait_until(
                 [&]
@@ -220,7 +220,7 @@
             four_hosts system(on);
             auto& host = system.hosts()[0];
             for (auto& each : system.hosts())
-                each.target->tricks().work = milliseconds(400);
+                each.target->faults().work = milliseconds(400);
             std::vector<seen_answer> answers(8);
             std::vector<worker::task> tasks;
             for (std::size_t i = 0; i < answers.size(); ++i)
@@ -290,7 +290,7 @@
             system.configure(2, routes);
             sleep_for(on.io(), std::chrono::seconds(2));
             for (auto& each : system.hosts())
-                each.target->tricks().work = std::chrono::seconds(7);
+                each.target->faults().work = std::chrono::seconds(7);
             seen_answer answer;
             run_parallel({[&] {
                               answer = system.call(host, "long", "/fields/x",
@@ -314,15 +314,16 @@
         [](worker& on)
         {
             four_hosts system(on);
-            unsigned target_tricks::*const table[] = {
-                &target_tricks::reset_answers, &target_tricks::short_answers,
-                &target_tricks::unproved_answers, &target_tricks::fail};
+            unsigned target_faults::*const table[] = {
+                &target_faults::reset_answers,
+                &target_faults::truncated_answers,
+                &target_faults::unsealed_answers, &target_faults::fail};
             int number = 0;
-            for (const auto trick : table)
+            for (const auto fault : table)
                 for (std::size_t from = 0; from < 4; ++from)
                 {
                     for (const std::size_t beurs : {1U, 3U})
-                        system.hosts()[beurs].target->tricks().*trick = 1;
+                        system.hosts()[beurs].target->faults().*fault = 1;
                     const auto id = "o-" + std::to_string(++number);
                     const auto answer = system.call(system.hosts()[from], id,
                                                     "/sales/x", "body");
@@ -330,7 +331,7 @@
                     CHECK(answer.status != 503);
                     CHECK(system.runs_of(id) == 1);
                     for (const std::size_t beurs : {1U, 3U})
-                        system.hosts()[beurs].target->tricks().*trick = 0;
+                        system.hosts()[beurs].target->faults().*fault = 0;
                 }
         });
 }
@@ -343,7 +344,7 @@
             four_hosts system(on);
             for (int i = 0; i < 30; ++i)
             {
-                system.hosts()[i % 2 == 0 ? 1U : 3U].target->tricks().shed = 1;
+                system.hosts()[i % 2 == 0 ? 1U : 3U].target->faults().shed = 1;
                 const auto id = "t-" + std::to_string(i);
                 const auto answer =
                     system.call(system.hosts()[static_cast<std::size_t>(i) % 4],
@@ -364,8 +365,9 @@
             {
                 for (auto& host : system.hosts())
                 {
-                    host.target->tricks().late_answers = i % 3 == 0 ? 1 : 0;
-                    host.target->tricks().early_answers = i % 5 == 0 ? 1 : 0;
+                    host.target->faults().duplicate_answers =
+                        i % 3 == 0 ? 1 : 0;
+                    host.target->faults().early_answers = i % 5 == 0 ? 1 : 0;
                 }
                 const auto id = "l-" + std::to_string(i);
                 const auto answer =
@@ -385,7 +387,7 @@
         {
             four_hosts system(on);
             for (auto& host : system.hosts())
-                host.target->tricks().work = milliseconds(300);
+                host.target->faults().work = milliseconds(300);
             std::string bytes;
             for (int i = 0; i < 6; ++i)
                 bytes += get("p-" + std::to_string(i), "/fields/x");
@@ -518,7 +520,7 @@
             four_hosts system(on);
             auto& host = system.hosts()[0];
             for (auto& each : system.hosts())
-                each.target->tricks().work = milliseconds(300);
+                each.target->faults().work = milliseconds(300);
             seen_answer answer;
             run_parallel({[&] { answer = system.call(host, "u", "/fields/x"); },
                           [&]
--- a/tests/integration/owner_choice.cpp
+++ b/tests/integration/owner_choice.cpp
@@ -55,7 +55,7 @@
     std::string service = "s";
     std::string domain = "near";
     blackboard board;
-    target_register targets;
+    target_registry targets;
     target_owner owner;
     entry_settings config;
     target_board seen{**find_policy("least_time"), 7};
@@ -63,8 +63,8 @@
     int slot_claims = 0;
     std::function<std::optional<duration>(const address&)> slot_wait =
         [](const address&) { return duration::zero(); };
-    std::function<std::optional<owner_word>(const address&)> answer =
-        [](const address&) { return owner_word{}; };
+    std::function<std::optional<load_report>(const address&)> answer =
+        [](const address&) { return load_report{}; };
     owner_choice choice;
     std::vector<member_ptr> owners{owner_at(2, near_place),
                                    owner_at(3, near_place),
@@ -118,7 +118,7 @@
         {
             made.answer = [](const address& peer)
             {
-                owner_word report;
+                load_report report;
                 report.incoming_bytes = peer.port == 4 ? 0 : 400'000;
                 return report;
             };
@@ -135,10 +135,10 @@
         [](worker& on, fixture& made)
         {
             int late = 0;
-            made.answer = [&](const address& peer) -> std::optional<owner_word>
+            made.answer = [&](const address& peer) -> std::optional<load_report>
             {
                 if (peer.port == 3)
-                    return owner_word{};
+                    return load_report{};
                 sleep_for(on.io(), milliseconds(600));
                 ++late;
                 return std::nullopt;
@@ -160,7 +160,7 @@
         {
             made.answer = [](const address&)
             {
-                owner_word report;
+                load_report report;
                 report.incoming_bytes = 1'000'000; // 0.8 s at 10 Mbit/s
                 return report;
             };
@@ -199,9 +199,9 @@
             owner_at(port, port % 2 == 0 ? near_place : far_place));
 }
 
-owner_word load_of(double load)
+load_report load_of(double load)
 {
-    owner_word report;
+    load_report report;
     report.load = load;
     report.slots = 10;
     return report;
@@ -278,7 +278,7 @@
             enlarge(made);
             std::map<address, int> queries;
             int open = 0;
-            made.answer = [&](const address& peer) -> std::optional<owner_word>
+            made.answer = [&](const address& peer) -> std::optional<load_report>
             {
                 ++queries[peer];
                 ++open;
--- a/tests/integration/ending_calls.cpp
+++ b/tests/integration/poison_calls.cpp
@@ -5,7 +5,7 @@
  * call to target after target, through other entries as well, until no target
  * of the service is left; and again as soon as the targets have restarted.
  */
-#include "ending_system.hpp"
+#include "crashing_system.hpp"
 
 using namespace tillerhall;
 using namespace tillerhall::harness;
@@ -137,7 +137,7 @@
         {
             crashing_system system(on);
             for (auto& each : system.hosts())
-                each.target->tricks().reset_answers = 1;
+                each.target->faults().reset_answers = 1;
             for (int i = 0; i < 3; ++i)
                 system.call(system.hosts()[4], "lost-" + std::to_string(i),
                             "/fields/lost");
--- a/tests/integration/ending_calls_soak.cpp
+++ b/tests/integration/poison_calls_soak.cpp
@@ -4,7 +4,7 @@
  * Guards against crash records that fail to reach all nodes when nodes are
  * killed, stopped or frozen and the store is unavailable.
  */
-#include "ending_system.hpp"
+#include "crashing_system.hpp"
 
 #include "tillerhall/core/random.hpp"
 
--- a/tests/integration/rollouts.cpp
+++ b/tests/integration/rollouts.cpp
@@ -69,19 +69,19 @@
         while (!*is_over)
         {
             for (auto* each : std::set<mesh_host*>(m_reporting))
-                if (!*is_over && !each->target->has_ended())
+                if (!*is_over && !each->target->has_crashed())
                     each->target->report(each->at["operators"], "ready");
             sleep_for(on().io(), milliseconds(300));
         }
     }
 
     void start_release(const std::string& release,
-                       const target_tricks& tricks = {})
+                       const target_faults& faults = {})
     {
         for (auto* each : new_hosts)
         {
             each->target->set_release(release);
-            each->target->tricks() = tricks;
+            each->target->faults() = faults;
             report(*each);
         }
     }
@@ -191,11 +191,11 @@
     int m_calls = 0;
 };
 
-target_tricks failing(double share)
+target_faults failing(double share)
 {
-    target_tricks tricks;
-    tricks.failing = share;
-    return tricks;
+    target_faults faults;
+    faults.failing = share;
+    return faults;
 }
 
 } // namespace
@@ -221,15 +221,15 @@
     one_class.failing_prefix = "/sales/";
     auto later = failing(0.5);
     later.failing_from = steady_clock::now() + std::chrono::seconds(7);
-    target_tricks slow;
+    target_faults slow;
     slow.work = milliseconds(60);
     auto under_load = failing(0.6);
-    under_load.failing_load = 2;
+    under_load.failing_concurrency = 2;
     under_load.work = milliseconds(20);
     struct bad_release
     {
         const char* name;
-        target_tricks tricks;
+        target_faults faults;
     };
     for (const auto& each :
          {bad_release{"one class", one_class}, bad_release{"later", later},
@@ -241,11 +241,11 @@
                 INFO(each.name);
                 rollout_system system(on);
                 system.order("v2");
-                auto tricks = each.tricks;
-                if (tricks.failing_from != time_point{})
-                    tricks.failing_from =
+                auto faults = each.faults;
+                if (faults.failing_from != time_point{})
+                    faults.failing_from =
                         steady_clock::now() + std::chrono::seconds(3);
-                system.start_release("v2", tricks);
+                system.start_release("v2", faults);
                 CHECK(system.reaches_state("v2", "rolled_back"));
                 CHECK(system.within_exposure());
                 CHECK(system.stays_closed());
@@ -265,7 +265,7 @@
             CHECK(system.bad == 0);
             // The old targets stop without notice.
             for (auto* each : system.old_hosts)
-                each->target->end();
+                each->target->crash();
             const auto before = system.runs_at(system.old_hosts);
             system.run_load(std::chrono::seconds(2), [] { return false; });
             CHECK(system.bad == 0);
@@ -400,7 +400,7 @@
             system.order("v3");
             CHECK(system.stays_closed()); // its targets still have v2
             for (auto* each : system.new_hosts)
-                each->target->start_again(each->target->id() + "-v3");
+                each->target->restart(each->target->id() + "-v3");
             system.start_release("v3");
             CHECK(system.reaches_state("v3", "completed"));
         });
--- a/tests/integration/pressed_worker.cpp
+++ b/tests/integration/saturated_worker.cpp
@@ -78,7 +78,7 @@
         };
         host.limits = [] { return client_limits{}; };
         host.is_stopping = [] { return false; };
-        server->start_taking(
+        server->start_accepting(
             [this, &on](std::shared_ptr<tcp_stream> stream)
             { call_session::serve(on, std::move(stream), host); });
     }
--- a/tests/integration/stream_pool.cpp
+++ b/tests/integration/stream_pool.cpp
@@ -21,7 +21,7 @@
         {
             listeners.push_back(
                 std::move(*listener::open(on, {"127.0.0.1", 0})));
-            listeners.back()->start_taking(
+            listeners.back()->start_accepting(
                 [this](std::shared_ptr<tcp_stream> stream)
                 { accepted.push_back(std::move(stream)); });
         }
--- a/tests/platform/decoders.cpp
+++ b/tests/platform/decoders.cpp
@@ -269,28 +269,28 @@
 TEST_CASE("a roll-out's state survives a round trip; its start is optional")
 {
     const auto rows = platform::make_rollout_source();
-    CHECK(rows.verdict_row("s1") == row_name{"status", "", "rollout/s1"});
-    stored_verdict stored;
+    CHECK(rows.state_row("s1") == row_name{"status", "", "rollout/s1"});
+    stored_rollout_state stored;
     stored.release = "v2";
     stored.state = rollout_state::rolled_back;
     stored.begun_ms = 1'700'000'000'000;
     stored_row row;
-    row.value = rows.encode_verdict("s1", stored);
+    row.value = rows.encode_state("s1", stored);
     row.revision = 4;
-    const auto read = rows.decode_verdict(row);
+    const auto read = rows.decode_state(row);
     REQUIRE(read);
     CHECK(read->release == "v2");
     CHECK(read->state == rollout_state::rolled_back);
     CHECK(read->begun_ms == stored.begun_ms);
     CHECK(read->revision == 4);
     row.value = R"({"targetVersion":"v2","state":"completed"})";
-    REQUIRE(rows.decode_verdict(row));
-    CHECK(rows.decode_verdict(row)->begun_ms == 0);
+    REQUIRE(rows.decode_state(row));
+    CHECK(rows.decode_state(row)->begun_ms == 0);
     for (const auto* bad : {"", "[]", R"({"state":"running"})",
                             R"({"targetVersion":"v2","state":"odd"})"})
     {
         row.value = bad;
-        CHECK_FALSE(rows.decode_verdict(row));
+        CHECK_FALSE(rows.decode_state(row));
     }
 }
 
--- a/tests/support/ending_system.hpp
+++ b/tests/support/crashing_system.hpp
@@ -36,8 +36,8 @@
                 [&] { return call(from, "w", "/fields/w").status == 200; }));
         for (std::size_t i = 0; i < target_count; ++i)
         {
-            hosts()[i].target->tricks().ends_under = poison_path;
-            hosts()[i].target->tricks().work = milliseconds(40);
+            hosts()[i].target->faults().crash_path = poison_path;
+            hosts()[i].target->faults().work = milliseconds(40);
             on.spawn([this, i] { restart_forever(i); });
         }
     }
@@ -50,14 +50,14 @@
         while (!*is_stopped)
         {
             sleep_for(on().io(), milliseconds(20));
-            if (*is_stopped || !hosts()[index].target->has_ended())
+            if (*is_stopped || !hosts()[index].target->has_crashed())
                 continue;
             sleep_for(on().io(), restart_delay);
             if (*is_stopped)
                 return;
             auto& host = hosts()[index];
-            host.target->start_again("i-" + std::to_string(index) + "-" +
-                                     std::to_string(++m_start_count));
+            host.target->restart("i-" + std::to_string(index) + "-" +
+                                 std::to_string(++m_start_count));
             host.target->report(host.at["operators"], "ready");
         }
     }
@@ -66,7 +66,7 @@
     {
         unsigned crashes = 0;
         for (auto& each : hosts())
-            crashes += each.target->times_ended();
+            crashes += each.target->crash_count();
         return crashes;
     }
 
@@ -128,7 +128,7 @@
     bool all_targets_serve()
     {
         return std::ranges::none_of(hosts(), [](const mesh_host& each)
-                                    { return each.target->has_ended(); }) &&
+                                    { return each.target->has_crashed(); }) &&
                served_share(24, "serves") == 1;
     }
 
--- a/tests/unit/client_accounts.cpp
+++ b/tests/unit/client_accounts.cpp
@@ -97,7 +97,7 @@
 
 TEST_CASE("the caller's standing follows from key, route and known runs")
 {
-    using standing = caller_standing;
+    using status = caller_status;
     const auto routes =
         routes_with(*client_accounts::build({entry_of("bakkerij", {"k1"})}));
     struct test_call
@@ -105,36 +105,35 @@
         const char* path;
         std::vector<std::string> fields;
         caller_evidence evidence;
-        standing expected;
+        status expected;
     };
     const std::vector<test_call> table{
-        {"/closed/x", {"Bearer k1"}, {}, standing::account},
-        {"/closed/x", {"bearer k1"}, {}, standing::account},
-        {"/open/x", {"Bearer k1"}, {}, standing::account},
-        {"/open/x", {}, {}, standing::anyone},
-        {"/open/x", {"Bearer k9"}, {}, standing::not_known},
-        {"/closed/x", {}, {}, standing::not_known},
-        {"/closed/x", {"Bearer k9"}, {}, standing::not_known},
-        {"/closed/x", {"Bearer"}, {}, standing::not_known},
-        {"/closed/x", {"Bearer "}, {}, standing::not_known},
-        {"/closed/x", {"Basic k1"}, {}, standing::not_known},
-        {"/closed/x", {"k1"}, {}, standing::not_known},
-        {"/closed/x", {"Bearer k1", "Bearer k1"}, {}, standing::not_known},
-        {"/closed/x", {std::string(16'000, 'x')}, {}, standing::not_known},
-        {"/closed/x", {}, {true, true}, standing::target},
+        {"/closed/x", {"Bearer k1"}, {}, status::account},
+        {"/closed/x", {"bearer k1"}, {}, status::account},
+        {"/open/x", {"Bearer k1"}, {}, status::account},
+        {"/open/x", {}, {}, status::anonymous},
+        {"/open/x", {"Bearer k9"}, {}, status::unauthenticated},
+        {"/closed/x", {}, {}, status::unauthenticated},
+        {"/closed/x", {"Bearer k9"}, {}, status::unauthenticated},
+        {"/closed/x", {"Bearer"}, {}, status::unauthenticated},
+        {"/closed/x", {"Bearer "}, {}, status::unauthenticated},
+        {"/closed/x", {"Basic k1"}, {}, status::unauthenticated},
+        {"/closed/x", {"k1"}, {}, status::unauthenticated},
+        {"/closed/x", {"Bearer k1", "Bearer k1"}, {}, status::unauthenticated},
+        {"/closed/x", {std::string(16'000, 'x')}, {}, status::unauthenticated},
+        {"/closed/x", {}, {true, true}, status::target},
         // Only a run that is known at this node is proof.
-        {"/closed/x", {}, {false, true}, standing::unproved},
-        {"/closed/x", {"Bearer k9"}, {true, true}, standing::not_known}};
+        {"/closed/x", {}, {false, true}, status::unverified},
+        {"/closed/x", {"Bearer k9"}, {true, true}, status::unauthenticated}};
     for (const auto& each : table)
     {
         CAPTURE(each.path, each.fields);
         const auto found =
             identify(*routes, each.path, each.fields, each.evidence);
-        CHECK(found.standing == each.expected);
-        CHECK(found.may_call() == (each.expected != standing::not_known &&
-                                   each.expected != standing::unproved));
-        CHECK((found.account != nullptr) ==
-              (each.expected == standing::account));
+        CHECK(found.status == each.expected);
+        CHECK(found.may_call() == (each.expected != status::unauthenticated &&
+                                   each.expected != status::unverified));
+        CHECK((found.account != nullptr) == (each.expected == status::account));
     }
 }
 
--- a/tests/unit/cold_gate.cpp
+++ b/tests/unit/cold_rate_limiter.cpp
@@ -4,7 +4,7 @@
  * Guards against targets that crash again right after their start because they
  * get more calls than a cold target can serve.
  */
-#include "tillerhall/routing/cold_gate.hpp"
+#include "tillerhall/routing/cold_rate_limiter.hpp"
 #include "tillerhall/core/random.hpp"
 
 #include <catch2/catch.hpp>
@@ -23,7 +23,7 @@
     std::size_t most = 0;
     for (std::size_t first = 0, last = 0; last < sent.size(); ++last)
     {
-        while (sent[first] + cold_gate::window <= sent[last])
+        while (sent[first] + cold_rate_limiter::window <= sent[last])
             ++first;
         most = std::max(most, last - first + 1);
     }
@@ -39,9 +39,9 @@
              {
                  const double per_s = *rc::gen::inRange(1, 40);
                  random_source random(*rc::gen::arbitrary<std::uint64_t>());
-                 cold_gate limiter(started);
+                 cold_rate_limiter limiter(started);
                  std::vector<time_point> sent;
-                 auto now = started + cold_gate::window;
+                 auto now = started + cold_rate_limiter::window;
                  for (int i = 0; i < 400; ++i)
                  {
                      now += milliseconds(random.below(40));
@@ -57,7 +57,7 @@
 
 TEST_CASE("calls to a warm target count when it becomes cold")
 {
-    cold_gate limiter(started);
+    cold_rate_limiter limiter(started);
     const auto now = started + std::chrono::seconds(5);
     for (int i = 0; i < 30; ++i)
         limiter.sent(now + milliseconds(10 * i));
@@ -68,7 +68,7 @@
 
 TEST_CASE("a new process sends nothing to a cold target in its first second")
 {
-    cold_gate limiter(started);
+    cold_rate_limiter limiter(started);
     CHECK_FALSE(limiter.has_room(14, started + milliseconds(10)));
     CHECK(limiter.wait(14, started + milliseconds(10)) == milliseconds(990));
     CHECK(limiter.has_room(14, started + milliseconds(1'000)));
@@ -76,7 +76,7 @@
 
 TEST_CASE("a refused call gets the time until the limit allows it")
 {
-    cold_gate limiter(started);
+    cold_rate_limiter limiter(started);
     const auto now = started + std::chrono::seconds(2);
     for (int i = 0; i < 14; ++i)
     {
--- a/tests/unit/domain_drains.cpp
+++ b/tests/unit/domain_drains.cpp
@@ -1,5 +1,5 @@
 /** @file Drained failure domains, in the view of entries. */
-#include "tillerhall/control/routes_word.hpp"
+#include "tillerhall/control/routes_update.hpp"
 #include "tillerhall/routing/service_targets.hpp"
 
 #include <boost/json.hpp>
@@ -44,10 +44,10 @@
 
 TEST_CASE("a routes update contains the drained domains")
 {
-    routes_word update;
+    routes_update update;
     update.reader = "127.0.0.1:1";
     update.drained = {"a", "b"};
-    CHECK(routes_word_from_json(to_json(update)).drained == update.drained);
+    CHECK(routes_update_from_json(to_json(update)).drained == update.drained);
     update.drained.clear();
-    CHECK(routes_word_from_json(to_json(update)).drained.empty());
+    CHECK(routes_update_from_json(to_json(update)).drained.empty());
 }
--- a/tests/unit/fleet_budget.cpp
+++ b/tests/unit/fleet_retry_budget.cpp
@@ -1,4 +1,4 @@
-#include "tillerhall/routing/fleet_budget.hpp"
+#include "tillerhall/routing/fleet_retry_budget.hpp"
 #include "tillerhall/routing/failure_shedder.hpp"
 
 #include <catch2/catch.hpp>
@@ -29,9 +29,9 @@
                  const auto known = static_cast<std::size_t>(
                      *rc::gen::inRange<int>(static_cast<int>(nodes + 1) / 2,
                                             static_cast<int>(nodes) + 1));
-                 fleet_budget_limits limits;
+                 fleet_retry_budget_limits limits;
                  limits.extra = 5.0 * static_cast<double>(nodes);
-                 std::vector<fleet_budget> budgets(nodes);
+                 std::vector<fleet_retry_budget> budgets(nodes);
                  std::vector<fleet_slot> slots;
                  const auto length = *rc::gen::inRange(5, 30);
                  for (int i = 0; i < length; ++i)
@@ -41,7 +41,7 @@
                      for (auto& each : budgets)
                      {
                          if (*rc::gen::inRange(0, 50) == 0)
-                             each = fleet_budget();
+                             each = fleet_retry_budget();
                          for (int call = 0; call < busy; ++call)
                          {
                              each.call(limits, known);
@@ -68,7 +68,7 @@
 
 TEST_CASE("a budget starts empty and grows with calls")
 {
-    fleet_budget budget;
+    fleet_retry_budget budget;
     CHECK_FALSE(budget.take());
     for (int i = 0; i < 11; ++i)
         budget.call({}, 1);
--- a/tests/unit/limits.cpp
+++ b/tests/unit/limits.cpp
@@ -4,9 +4,9 @@
 #include "tillerhall/distribution/circuit_breaker.hpp"
 #include "tillerhall/distribution/source_freshness.hpp"
 #include "tillerhall/routing/admission.hpp"
+#include "tillerhall/routing/deadline_budgets.hpp"
 #include "tillerhall/routing/retry_budget.hpp"
 #include "tillerhall/routing/run_estimates.hpp"
-#include "tillerhall/routing/usual_budgets.hpp"
 
 #include <list>
 
@@ -64,10 +64,10 @@
     source_freshness freshness;
     const auto now = steady_clock::now();
     CHECK(freshness.age_ms(now) == -1);
-    freshness.heard(-1, now);
+    freshness.note_peer_read(-1, now);
     CHECK(freshness.age_ms(now) == -1);
-    freshness.heard(500, now);
-    freshness.heard(900, now);
+    freshness.note_peer_read(500, now);
+    freshness.note_peer_read(900, now);
     CHECK(freshness.age_ms(now) == 500);
     freshness.note_read(now);
     CHECK(freshness.age_ms(now + seconds(1)) == 1000);
@@ -338,7 +338,7 @@
 
 TEST_CASE("a retry is recognized by its remaining time")
 {
-    usual_budgets budgets;
+    deadline_budgets budgets;
     const work_class reads{2, milliseconds(200), call_kind::repeatable};
     const work_class others{1, milliseconds(200), call_kind::once};
     auto now = steady_clock::now();
--- a/tests/unit/load_inquiry.cpp
+++ b/tests/unit/load_inquiry.cpp
@@ -17,11 +17,11 @@
 
 const time_point start = time_point{} + std::chrono::hours(1);
 
-std::vector<owner_outlook> owners(std::size_t near, std::size_t far)
+std::vector<owner_estimate> owners(std::size_t near, std::size_t far)
 {
-    std::vector<owner_outlook> made(near + far);
+    std::vector<owner_estimate> made(near + far);
     std::for_each_n(made.begin(), near,
-                    [](owner_outlook& each) { each.is_near = true; });
+                    [](owner_estimate& each) { each.is_near = true; });
     return made;
 }
 
@@ -33,11 +33,11 @@
     load_inquiry inquiry;
     random_source random(1);
     const auto all = owners(20, 80);
-    for (const std::size_t favourite : {5U, 70U})
+    for (const std::size_t preferred : {5U, 70U})
     {
-        const auto asked = inquiry.whom_to_ask(all, favourite, start, random);
+        const auto asked = inquiry.owners_to_ask(all, preferred, start, random);
         REQUIRE(asked.size() == 3);
-        CHECK(asked[0] == favourite);
+        CHECK(asked[0] == preferred);
         CHECK(all[asked[1]].is_near);
         CHECK_FALSE(all[asked[2]].is_near);
     }
@@ -47,7 +47,7 @@
 {
     load_inquiry inquiry;
     random_source random(1);
-    CHECK(inquiry.whom_to_ask(owners(0, 20), 0, start, random).size() == 3);
+    CHECK(inquiry.owners_to_ask(owners(0, 20), 0, start, random).size() == 3);
 }
 
 TEST_CASE("no owner is asked in a small service or if enough is known")
@@ -55,15 +55,15 @@
     load_inquiry inquiry;
     random_source random(1);
     CHECK(inquiry
-              .whom_to_ask(owners(2, load_inquiry::small_service - 2), 0, start,
-                           random)
+              .owners_to_ask(owners(2, load_inquiry::small_service - 2), 0,
+                             start, random)
               .empty());
     auto all = owners(20, 80);
     for (const auto i : {3U, 70U})
         all[i].is_known = all[i].has_room = true;
-    CHECK(inquiry.whom_to_ask(all, 0, start, random).empty());
+    CHECK(inquiry.owners_to_ask(all, 0, start, random).empty());
     all[3].has_room = false;
-    CHECK_FALSE(inquiry.whom_to_ask(all, 0, start, random).empty());
+    CHECK_FALSE(inquiry.owners_to_ask(all, 0, start, random).empty());
 }
 
 TEST_CASE("owners with a recent report or without an answer are not asked")
@@ -72,10 +72,10 @@
     random_source random(1);
     auto all = owners(10, 10);
     for (auto& each : all)
-        (each.is_near ? each.is_known : each.is_left_out) = true;
-    CHECK(inquiry.whom_to_ask(all, 0, start, random).empty());
+        (each.is_near ? each.is_known : each.is_excluded) = true;
+    CHECK(inquiry.owners_to_ask(all, 0, start, random).empty());
     all[4].is_known = false;
-    CHECK(inquiry.whom_to_ask(all, 0, start, random) ==
+    CHECK(inquiry.owners_to_ask(all, 0, start, random) ==
           std::vector<std::size_t>{4});
 }
 
@@ -89,14 +89,16 @@
     std::size_t asked = 0;
     for (int i = 0; i < 100; ++i)
         asked +=
-            inquiry.whom_to_ask(all, 0, start + std::chrono::seconds(i), random)
+            inquiry
+                .owners_to_ask(all, 0, start + std::chrono::seconds(i), random)
                 .size();
     CHECK(asked > 10);
     CHECK(asked < 40);
     for (int i = 0; i < 20; ++i)
         inquiry.answered(false);
-    CHECK(inquiry.whom_to_ask(all, 0, start + std::chrono::seconds(200), random)
-              .size() == 3);
+    CHECK(
+        inquiry.owners_to_ask(all, 0, start + std::chrono::seconds(200), random)
+            .size() == 3);
 }
 
 TEST_CASE("load queries of a node are rate-limited")
@@ -106,7 +108,7 @@
     const auto all = owners(20, 80);
     std::size_t asked = 0;
     for (int ms = 0; ms < 10'000; ++ms) // a thousand calls a second
-        asked += inquiry.whom_to_ask(all, 0, start + milliseconds(ms), random)
+        asked += inquiry.owners_to_ask(all, 0, start + milliseconds(ms), random)
                      .size();
     CHECK(asked <= 10 * load_inquiry::questions_per_s +
                        load_inquiry::question_burst + 1);
@@ -176,7 +178,7 @@
     const call_origin from{&here, &own, 0, work};
     const auto report_of = [&](const address& owner)
     {
-        owner_word report;
+        load_report report;
         report.load = state[owner].running / slots;
         report.slots = slots;
         report.run_ms = state[owner].run_ms;
@@ -203,24 +205,25 @@
         }
         auto& entry = *entries[random.below(entry_count)];
         std::vector<member_ptr> informed;
-        std::vector<owner_outlook> outlooks;
+        std::vector<owner_estimate> estimates;
         for (const auto& each : all)
-            outlooks.push_back(entry.board.outlook(*each, from, now));
+            estimates.push_back(entry.board.estimate(*each, from, now));
         const auto remembered = entry.board.choose_among(all, {}, from, now);
-        const auto favourite = static_cast<std::size_t>(
+        const auto preferred = static_cast<std::size_t>(
             std::ranges::find(all, remembered) - all.begin());
         if (asks)
             for (const auto i :
-                 entry.inquiry.whom_to_ask(outlooks, favourite, now, random))
+                 entry.inquiry.owners_to_ask(estimates, preferred, now, random))
             {
                 const auto report = report_of(all[i]->rpc);
-                entry.board.told(all[i]->rpc, report, milliseconds(3), now);
+                entry.board.record_report(all[i]->rpc, report, milliseconds(3),
+                                          now);
                 entry.inquiry.answered(*report.load >= 1);
                 if (*report.load < 1)
                     informed.push_back(all[i]);
             }
         for (std::size_t i = 0; asks && i < all.size(); ++i)
-            if (outlooks[i].is_known && outlooks[i].has_room)
+            if (estimates[i].is_known && estimates[i].has_room)
                 informed.push_back(all[i]);
         const auto owner =
             informed.empty()
--- a/tests/unit/suspect_calls.cpp
+++ b/tests/unit/poison_calls.cpp
@@ -16,13 +16,13 @@
     reported_crashes mesh(4);
     CHECK(mesh.view().empty());
     mesh.report(2, crash_of({"a", "b"}));
-    CHECK_FALSE(mesh.view().hold_of("a", {}, now_ms));
+    CHECK_FALSE(mesh.view().quarantine_of("a", {}, now_ms));
     mesh.report(3, crash_of({"a", "c"}));
-    CHECK(mesh.view().hold_of("a", {}, now_ms)->left ==
-          suspect_calls::first_quarantine);
-    CHECK_FALSE(mesh.view().hold_of("b", {}, now_ms));
-    CHECK_FALSE(mesh.view().hold_of("c", {}, now_ms));
-    CHECK_FALSE(mesh.view().hold_of("another", {}, now_ms));
+    CHECK(mesh.view().quarantine_of("a", {}, now_ms)->left ==
+          poison_calls::first_quarantine);
+    CHECK_FALSE(mesh.view().quarantine_of("b", {}, now_ms));
+    CHECK_FALSE(mesh.view().quarantine_of("c", {}, now_ms));
+    CHECK_FALSE(mesh.view().quarantine_of("another", {}, now_ms));
 }
 
 TEST_CASE("a successful run clears a call of earlier crashes")
@@ -31,13 +31,13 @@
     mesh.report(2, crash_of({"a"}));
     mesh.report(3, crash_of({"a"}));
     mesh.report(4, good_run{"a", now_ms + 40});
-    CHECK_FALSE(mesh.view().hold_of("a", {}, now_ms + 60));
+    CHECK_FALSE(mesh.view().quarantine_of("a", {}, now_ms + 60));
     CHECK(mesh.view().empty());
     // Later crashes count.
     mesh.report(2, crash_of({"a"}, now_ms + minute_ms));
-    CHECK_FALSE(mesh.view().hold_of("a", {}, now_ms + minute_ms));
+    CHECK_FALSE(mesh.view().quarantine_of("a", {}, now_ms + minute_ms));
     mesh.report(3, crash_of({"a"}, now_ms + minute_ms));
-    CHECK(mesh.view().hold_of("a", {}, now_ms + minute_ms));
+    CHECK(mesh.view().quarantine_of("a", {}, now_ms + minute_ms));
 }
 
 TEST_CASE(
@@ -46,9 +46,9 @@
     reported_crashes mesh(2);
     mesh.report(2, crash_of({"a"}, now_ms));
     mesh.report(2, crash_of({"a"}, now_ms));
-    CHECK_FALSE(mesh.view().hold_of("a", {}, now_ms));
+    CHECK_FALSE(mesh.view().quarantine_of("a", {}, now_ms));
     mesh.report(2, crash_of({"a"}, now_ms + 4000));
-    CHECK(mesh.view().hold_of("a", {}, now_ms + 4000));
+    CHECK(mesh.view().quarantine_of("a", {}, now_ms + 4000));
 }
 
 TEST_CASE("crashes under the present attempt count before they are reported")
@@ -56,11 +56,12 @@
     reported_crashes mesh(4);
     const auto one = mesh.members.find({"127.0.0.1", 2})->rpc;
     const auto two = mesh.members.find({"127.0.0.1", 3})->rpc;
-    CHECK_FALSE(mesh.view().hold_of("a", {one}, now_ms));
-    CHECK(mesh.view().hold_of("a", {one, two}, now_ms));
+    CHECK_FALSE(mesh.view().quarantine_of("a", {one}, now_ms));
+    CHECK(mesh.view().quarantine_of("a", {one, two}, now_ms));
     mesh.report(2, crash_of({"a"}));
-    CHECK_FALSE(mesh.view().hold_of("a", {one}, now_ms)); // the same crash
-    CHECK(mesh.view().hold_of("a", {two}, now_ms));
+    CHECK_FALSE(
+        mesh.view().quarantine_of("a", {one}, now_ms)); // the same crash
+    CHECK(mesh.view().quarantine_of("a", {two}, now_ms));
 }
 
 TEST_CASE("the quarantine grows with each round of crashes, up to a day")
@@ -68,23 +69,23 @@
     reported_crashes mesh(20);
     mesh.report(2, crash_of({"a"}));
     mesh.report(3, crash_of({"a"}, now_ms + 700)); // in the same round
-    const auto first = mesh.view().hold_of("a", {}, now_ms + 700);
+    const auto first = mesh.view().quarantine_of("a", {}, now_ms + 700);
     REQUIRE(first);
     CHECK(first->rounds == 1);
-    CHECK(first->left == suspect_calls::first_quarantine);
-    CHECK_FALSE(first->may_be_tried(false));
+    CHECK(first->left == poison_calls::first_quarantine);
+    CHECK_FALSE(first->may_be_probed(false));
     const auto expired = now_ms + 700 + 10 * minute_ms;
-    CHECK(mesh.view().hold_of("a", {}, expired)->may_be_tried(false));
+    CHECK(mesh.view().quarantine_of("a", {}, expired)->may_be_probed(false));
     // The probe crashed another target.
     mesh.report(4, crash_of({"a"}, expired));
-    const auto second = mesh.view().hold_of("a", {}, expired);
+    const auto second = mesh.view().quarantine_of("a", {}, expired);
     CHECK(second->rounds == 2);
-    CHECK(second->left == 2 * suspect_calls::first_quarantine);
+    CHECK(second->left == 2 * poison_calls::first_quarantine);
     for (std::uint16_t port = 5; port <= 20; ++port)
         mesh.report(port, crash_of({"a"}, expired + port * minute_ms));
     const auto last = expired + 20 * minute_ms;
-    CHECK(mesh.view().hold_of("a", {}, last)->left ==
-          suspect_calls::longest_quarantine);
+    CHECK(mesh.view().quarantine_of("a", {}, last)->left ==
+          poison_calls::longest_quarantine);
 }
 
 TEST_CASE("a call that succeeded before is probed early, but only once")
@@ -93,12 +94,15 @@
     mesh.report(2, crash_of({"a"}));
     mesh.report(3, crash_of({"a"}));
     const auto early = now_ms + 5000;
-    CHECK_FALSE(mesh.view().hold_of("a", {}, early - 1)->may_be_tried(true));
-    CHECK(mesh.view().hold_of("a", {}, early)->may_be_tried(true));
-    CHECK_FALSE(mesh.view().hold_of("a", {}, early)->may_be_tried(false));
-    mesh.report(4, crash_of({"a"}, early + 100)); // the probe
     CHECK_FALSE(
-        mesh.view().hold_of("a", {}, early + 60'000)->may_be_tried(true));
+        mesh.view().quarantine_of("a", {}, early - 1)->may_be_probed(true));
+    CHECK(mesh.view().quarantine_of("a", {}, early)->may_be_probed(true));
+    CHECK_FALSE(
+        mesh.view().quarantine_of("a", {}, early)->may_be_probed(false));
+    mesh.report(4, crash_of({"a"}, early + 100)); // the probe
+    CHECK_FALSE(mesh.view()
+                    .quarantine_of("a", {}, early + 60'000)
+                    ->may_be_probed(true));
 }
 
 TEST_CASE("every node selects the same owner to probe a call")
@@ -110,14 +114,14 @@
     for (int i = 0; i < 100; ++i)
     {
         const auto call = "call-" + std::to_string(i);
-        const auto owner = trial_owner(owners, call);
+        const auto owner = probe_owner(owners, call);
         auto reversed = owners;
         std::ranges::reverse(reversed);
-        CHECK(trial_owner(reversed, call) == owner);
+        CHECK(probe_owner(reversed, call) == owner);
         chosen.insert(owner->rpc);
     }
     CHECK(chosen.size() == owners.size());
-    CHECK(trial_owner({}, "a") == nullptr);
+    CHECK(probe_owner({}, "a") == nullptr);
 }
 
 TEST_CASE("a crash in the future of the local clock has age zero")
@@ -125,8 +129,8 @@
     reported_crashes mesh(3);
     mesh.report(2, crash_of({"a"}, now_ms + 5000));
     mesh.report(3, crash_of({"a"}, now_ms + 5000));
-    CHECK(mesh.view().hold_of("a", {}, now_ms)->left ==
-          suspect_calls::first_quarantine);
+    CHECK(mesh.view().quarantine_of("a", {}, now_ms)->left ==
+          poison_calls::first_quarantine);
 }
 
 TEST_CASE("a known fingerprint is found by its first half")
@@ -145,8 +149,9 @@
     const auto before = mesh.view();
     mesh.report(3, crash_of({"a"}));
     const auto after = mesh.view();
-    CHECK(after.newly_held(before, now_ms) == std::vector<std::string>{"a"});
-    CHECK(after.newly_held(after, now_ms).empty());
+    CHECK(after.newly_quarantined(before, now_ms) ==
+          std::vector<std::string>{"a"});
+    CHECK(after.newly_quarantined(after, now_ms).empty());
 }
 
 TEST_CASE("crashes are kept when the reporting node restarts")
@@ -157,19 +162,19 @@
     rebooted.incarnation = 100; // has no record of the crash yet
     mesh.members.merge(rebooted);
     mesh.report(2, crash_of({"a"}, now_ms + 9000));
-    CHECK(mesh.view().hold_of("a", {}, now_ms + 9000));
+    CHECK(mesh.view().quarantine_of("a", {}, now_ms + 9000));
     // The restarted node reads them from its stored row.
     member_list own(rebooted);
     auto row = owner_at(2);
-    add_target_ends(row, {crash_of({"a"}, now_ms)});
+    add_target_crashes(row, {crash_of({"a"}, now_ms)});
     own.merge(row);
-    CHECK(own.self().target_ends.size() == 1);
+    CHECK(own.self().target_crashes.size() == 1);
 }
 
 TEST_CASE(
     "the newest four crashes of a target are kept, in any order of arrival")
 {
-    std::vector<target_end> ends;
+    std::vector<target_crash> ends;
     for (std::uint64_t i = 0; i < 9; ++i)
         ends.push_back(crash_of({"c" + std::to_string(i)}, now_ms + i));
     random_source random(7);
@@ -178,10 +183,10 @@
         std::ranges::shuffle(ends, random);
         member changed;
         for (const auto& each : ends)
-            add_target_ends(changed, {each});
-        REQUIRE(changed.target_ends.size() == 4);
-        CHECK(changed.target_ends.front().at_ms == now_ms + 5);
-        CHECK(changed.target_ends.back().at_ms == now_ms + 8);
+            add_target_crashes(changed, {each});
+        REQUIRE(changed.target_crashes.size() == 4);
+        CHECK(changed.target_crashes.front().at_ms == now_ms + 5);
+        CHECK(changed.target_crashes.back().at_ms == now_ms + 8);
     }
 }
 
@@ -190,31 +195,32 @@
 {
     constexpr std::uint64_t day_ms = 24 * 60 * minute_ms;
     auto changed = owner_at(2);
-    add_target_ends(changed, {crash_of({"a"}, now_ms)});
+    add_target_crashes(changed, {crash_of({"a"}, now_ms)});
     add_good_runs(changed, {good_run{"b", now_ms + 5}});
     member_list peer(owner_at(1));
     peer.merge(changed);
-    CHECK_FALSE(forget_news(changed, now_ms));
-    CHECK(forget_news(changed, now_ms + 1));
-    CHECK(changed.target_ends.empty());
+    CHECK_FALSE(forget_crash_evidence(changed, now_ms));
+    CHECK(forget_crash_evidence(changed, now_ms + 1));
+    CHECK(changed.target_crashes.empty());
     CHECK(changed.good_runs.size() == 1);
     // A recent crash is taken over from the known record, an expired one is
     // not.
     changed.incarnation = 5;
     peer.set_now({}, now_ms);
     peer.merge(changed);
-    CHECK(peer.find(changed.rpc)->target_ends.size() == 1);
+    CHECK(peer.find(changed.rpc)->target_crashes.size() == 1);
     changed.incarnation = 6;
     peer.set_now({}, now_ms + day_ms);
     peer.merge(changed);
-    CHECK(peer.find(changed.rpc)->target_ends.empty());
+    CHECK(peer.find(changed.rpc)->target_crashes.empty());
 }
 
 TEST_CASE("crashes are encoded and decoded; records without them are unchanged")
 {
     auto sent = owner_at(2);
     const auto plain = boost::json::serialize(to_json(sent));
-    add_target_ends(sent, {crash_of({"a", "b.c"}), crash_of({}, now_ms + 1)});
+    add_target_crashes(sent,
+                       {crash_of({"a", "b.c"}), crash_of({}, now_ms + 1)});
     add_good_runs(sent, {good_run{"a", now_ms + 2}});
     const auto text = boost::json::serialize(to_json(sent));
     CHECK(*member_from_json(boost::json::parse(text)) == sent);
--- a/tests/unit/quotas.cpp
+++ b/tests/unit/quotas.cpp
@@ -4,9 +4,9 @@
  * its rate and burst allow by at most a tenth plus twenty calls; below its
  * quota calls should not be refused. */
 #include "tillerhall/core/random.hpp"
-#include "tillerhall/quota/limit_news.hpp"
 #include "tillerhall/quota/quota_gate.hpp"
 #include "tillerhall/quota/quota_ledger.hpp"
+#include "tillerhall/quota/quota_limit_changes.hpp"
 
 #include <catch2/catch.hpp>
 #include <cmath>
@@ -132,7 +132,7 @@
     struct ledger_state
     {
         quota_ledger ledger;
-        limit_news changes;
+        quota_limit_changes changes;
         std::int64_t asked = 0;
         std::int64_t admitted = 0;
     };
@@ -153,7 +153,8 @@
         for (; calls > 0; --calls)
         {
             ++m_requested;
-            if (!m_entries[index].gate.ask(m_account, m_entries.size(), now()))
+            if (!m_entries[index].gate.admit(m_account, m_entries.size(),
+                                             now()))
                 m_admitted.back() += 1;
         }
     }
@@ -161,14 +162,14 @@
     void report(std::size_t index)
     {
         auto& from = m_entries[index];
-        const auto due = from.gate.take_due();
+        const auto due = from.gate.take_due_counts();
         if (!due)
             return;
         const auto& counts = *due;
         if (from.is_cut_off)
         {
             from.gate.restore(counts);
-            from.gate.unanswered(now());
+            from.gate.note_unanswered(now());
             return;
         }
         auto& to = m_ledgers[index % domains];
@@ -216,7 +217,7 @@
     {
         while (!m_messages.empty() && m_messages.front().due <= m_step)
         {
-            m_entries[m_messages.front().entry].gate.told(
+            m_entries[m_messages.front().entry].gate.set_limits(
                 m_messages.front().limits);
             m_messages.pop_front();
         }
@@ -310,7 +311,7 @@
 {
     quota_gate gate({}, 1);
     const auto account = account_of(10, 10);
-    CHECK_FALSE(gate.ask(account, 3, start));
+    CHECK_FALSE(gate.admit(account, 3, start));
     gate.give_back(account);
     const auto counts = gate.take_counts();
     REQUIRE(counts.size() == 1);
@@ -321,10 +322,10 @@
 TEST_CASE("retries of refused calls wait for tokens and are spread")
 {
     quota_gate gate({}, 1);
-    gate.told({{"bakkerij", 0, std::chrono::seconds(1), 3}});
+    gate.set_limits({{"bakkerij", 0, std::chrono::seconds(1), 3}});
     std::vector<duration> delays;
     for (int i = 0; i < 200; ++i)
-        delays.push_back(*gate.ask(account_of(10, 10), 3, start));
+        delays.push_back(*gate.admit(account_of(10, 10), 3, start));
     CHECK(*std::ranges::min_element(delays) >= std::chrono::seconds(1));
     CHECK(*std::ranges::max_element(delays) > std::chrono::milliseconds(3'500));
     CHECK(*std::ranges::max_element(delays) <= std::chrono::seconds(5));
--- a/tests/unit/refusal_memory.cpp
+++ b/tests/unit/refusal_cache.cpp
@@ -4,7 +4,7 @@
  * Guards against a retry storm in which refusals use up the processor time of
  * all hosts.
  */
-#include "tillerhall/routing/refusal_memory.hpp"
+#include "tillerhall/routing/refusal_cache.hpp"
 #include "tillerhall/core/random.hpp"
 #include "tillerhall/routing/admission.hpp"
 
@@ -120,7 +120,7 @@
             });
     }
 
-    refusal_memory cache;
+    refusal_cache cache;
 };
 
 /**
@@ -170,24 +170,24 @@
 TEST_CASE(
     "a refusal is cached by owner and class of work, and for a short time")
 {
-    refusal_memory cache;
+    refusal_cache cache;
     cache.refused(owner_at(0), reads, std::chrono::seconds(1), 0.99, start);
     CHECK(cache.refusing(reads, start) == std::vector{owner_at(0)});
     CHECK(cache.refusing(bookings, start).empty());
     CHECK(cache.refusing({reads.work, true}, start).empty());
-    CHECK(cache.refusing(reads, start + refusal_memory::longest_pause).empty());
+    CHECK(cache.refusing(reads, start + refusal_cache::longest_pause).empty());
 }
 
 TEST_CASE("a pause is no longer than the owner's Retry-After")
 {
-    refusal_memory cache;
+    refusal_cache cache;
     cache.refused(owner_at(0), reads, milliseconds(4), 0.99, start);
     CHECK(cache.refusing(reads, start + milliseconds(4)).empty());
 }
 
 TEST_CASE("after a pause an owner is asked once a pause until it admits a call")
 {
-    refusal_memory cache;
+    refusal_cache cache;
     cache.refused(owner_at(0), reads, milliseconds(100), 0, start);
     const auto after = start + milliseconds(60);
     CHECK(cache.refusing(reads, after).empty());
@@ -201,7 +201,7 @@
 
 TEST_CASE("pauses of entries that were refused together end at different times")
 {
-    refusal_memory cache;
+    refusal_cache cache;
     cache.refused(owner_at(0), reads, milliseconds(40), 0, start);
     cache.refused(owner_at(1), reads, milliseconds(40), 0.9, start);
     CHECK(cache.refusing(reads, start + milliseconds(30)) ==
@@ -210,7 +210,7 @@
 
 TEST_CASE("callers get the shortest Retry-After of the owners")
 {
-    refusal_memory cache;
+    refusal_cache cache;
     CHECK(cache.retry_after(reads, start) == duration::zero());
     cache.refused(owner_at(0), reads, milliseconds(300), 0.5, start);
     cache.refused(owner_at(1), reads, milliseconds(200), 0.5, start);
--- a/tests/unit/reported_crashes.hpp
+++ b/tests/unit/reported_crashes.hpp
@@ -1,7 +1,7 @@
 /** @file Members that report crashes of their targets, for tests. */
 #pragma once
 
-#include "tillerhall/routing/suspect_calls.hpp"
+#include "tillerhall/routing/poison_calls.hpp"
 
 namespace tillerhall
 {
@@ -19,8 +19,8 @@
     return made;
 }
 
-inline target_end crash_of(const std::vector<std::string>& calls,
-                           std::uint64_t at_ms = now_ms)
+inline target_crash crash_of(const std::vector<std::string>& calls,
+                             std::uint64_t at_ms = now_ms)
 {
     return {"t-" + std::to_string(at_ms), at_ms, calls};
 }
@@ -37,10 +37,10 @@
             members.merge(owner_at(port));
     }
 
-    void report(std::uint16_t port, const target_end& end)
+    void report(std::uint16_t port, const target_crash& end)
     {
         auto changed = *members.find({"127.0.0.1", port});
-        add_target_ends(changed, {end});
+        add_target_crashes(changed, {end});
         take(changed);
     }
 
@@ -60,7 +60,7 @@
             members.merge(changed);
     }
 
-    suspect_calls view() const { return suspect_calls(members); }
+    poison_calls view() const { return poison_calls(members); }
 
     member_list members;
 };
--- a/tests/unit/rollout_judge.cpp
+++ b/tests/unit/rollout_judge.cpp
@@ -1,7 +1,7 @@
 /** @file Tests of exposure permits, the judging of releases and the plan. */
 #include "release_simulation.hpp"
 
-#include "tillerhall/rollout/exposure_tickets.hpp"
+#include "tillerhall/rollout/exposure_permits.hpp"
 #include "tillerhall/rollout/rollout_plan.hpp"
 
 #include <catch2/catch.hpp>
@@ -14,7 +14,7 @@
     for (std::uint64_t seed = 1; seed <= 50; ++seed)
     {
         random_source random(seed);
-        std::vector<exposure_tickets> entries(1 + random.below(200));
+        std::vector<exposure_permits> entries(1 + random.below(200));
         constexpr double exposure = 0.1;
         constexpr unsigned tolerance = 50;
         const double share = exposure / 2;
@@ -25,7 +25,7 @@
             auto& entry = entries[random.below(entries.size())];
             if (random.below(500) == 0)
                 entry = {}; // restart
-            const bool is_canary = entry.has_one();
+            const bool is_canary = entry.has_permit();
             if (is_canary)
                 entry.take();
             // Half of the calls are refused or lost.
@@ -137,7 +137,7 @@
             service.run(stable_runs_per_s, canary_runs_per_s, 12).is_found_bad
                 ? 1
                 : 0;
-        CHECK(service.judge().suspects().contains("i-24"));
+        CHECK(service.judge().regressed_targets().contains("i-24"));
     }
     CHECK(found == 0);
 }
@@ -242,9 +242,9 @@
     known.begun = start;
     known.state = rollout_state::running;
     rollout_progress progress;
-    progress.seen = {1'000, 1'000, true, true};
-    progress.wanted_targets = 32;
-    progress.settled_targets = 32;
+    progress.evidence = {1'000, 1'000, true, true};
+    progress.canary_targets = 32;
+    progress.stable_targets = 32;
     double canary_share_s = 0;
     auto at = start;
     progress.stage_begun = at;
@@ -263,7 +263,7 @@
     // Completes only when the stable release is idle, and not too early.
     at += milliseconds(1'300);
     CHECK(next_move(known, progress, at) == rollout_move::wait);
-    progress.settled_is_idle = true;
+    progress.stable_is_idle = true;
     CHECK(next_move(known, progress, start + milliseconds(11'900)) ==
           rollout_move::wait);
     at = start + milliseconds(12'000);
@@ -278,13 +278,13 @@
     known.state = rollout_state::running;
     rollout_progress progress;
     progress.stage_begun = start;
-    progress.wanted_targets = 3;
-    progress.seen = {10, 10, true, true};
+    progress.canary_targets = 3;
+    progress.evidence = {10, 10, true, true};
     CHECK(next_move(known, progress, start + milliseconds(10'000)) ==
           rollout_move::wait);
     CHECK(next_move(known, progress, start + milliseconds(15'500)) ==
           rollout_move::give_up);
-    progress.wanted_targets = 0;
+    progress.canary_targets = 0;
     CHECK(next_move(known, progress, start + milliseconds(10'000)) ==
           rollout_move::wait);
     CHECK(next_move(known, progress, start + milliseconds(15'500)) ==
@@ -300,14 +300,14 @@
     known.stage = rollout_stage::loaded;
     rollout_progress progress;
     progress.stage_begun = start;
-    progress.wanted_targets = 3;
-    progress.settled_targets = 32;
-    progress.seen = {1'000, 1'000, true, false};
+    progress.canary_targets = 3;
+    progress.stable_targets = 32;
+    progress.evidence = {1'000, 1'000, true, false};
     CHECK(next_move(known, progress, start + milliseconds(10'000)) ==
           rollout_move::wait);
     CHECK(next_move(known, progress, start + milliseconds(15'500)) ==
           rollout_move::give_up);
-    progress.seen.is_noninferior = true;
+    progress.evidence.is_noninferior = true;
     CHECK(next_move(known, progress, start + milliseconds(10'000)) ==
           rollout_move::next_stage);
 }
--- a/tests/unit/rollout_records.cpp
+++ b/tests/unit/rollout_records.cpp
@@ -21,7 +21,7 @@
     rollout_record made;
     made.order = {"perceel", release, milliseconds(16'000), revision};
     made.begun = start;
-    made.settled = "v1";
+    made.stable = "v1";
     made.state = rollout_state::running;
     return made;
 }
@@ -33,7 +33,7 @@
     made.state = static_cast<rollout_state>(random.below(4));
     made.stage = static_cast<rollout_stage>(random.below(5));
     if (random.below(2) == 0)
-        made.suspects = {"i-" + std::to_string(random.below(4))};
+        made.regressed_targets = {"i-" + std::to_string(random.below(4))};
     return made;
 }
 
@@ -127,7 +127,7 @@
 TEST_CASE("a record survives JSON, and malformed ones throw")
 {
     auto sent = ordered(5);
-    sent.suspects = {"i-1"};
+    sent.regressed_targets = {"i-1"};
     sent.closed = {"v0"};
     sent.reason = "why";
     const auto now = start + milliseconds(1'500);
@@ -137,7 +137,7 @@
     CHECK(read.begun == start + milliseconds(700));
     CHECK(text_of(read) != text_of(sent)); // differs by the time in transit
     CHECK(read.order.release == "v2");
-    CHECK(read.suspects == sent.suspects);
+    CHECK(read.regressed_targets == sent.regressed_targets);
     CHECK(read.closed == sent.closed);
     for (const auto* bad :
          {"7", "[]", R"(["s","v",1,1,-1,"",0,0,"",[],[]])",
@@ -153,27 +153,29 @@
     auto known = ordered(5);
 
     known.state = rollout_state::unread;
-    CHECK(mesh.view(known).on_trial("perceel").members.empty());
+    CHECK(mesh.view(known).canaries_of("perceel").members.empty());
     CHECK(all_of_release(mesh.view(known).of("perceel"), "v1"));
 
     known.state = rollout_state::running;
     const auto first = mesh.view(known);
     CHECK(first.of("perceel").size() == 13);
     CHECK(all_of_release(first.of("perceel"), "v1"));
-    CHECK(first.on_trial("perceel").members.size() == 3);
-    CHECK(all_of_release(first.on_trial("perceel").members, "v2"));
-    CHECK(first.on_trial("perceel").share == 0.05);
+    CHECK(first.canaries_of("perceel").members.size() == 3);
+    CHECK(all_of_release(first.canaries_of("perceel").members, "v2"));
+    CHECK(first.canaries_of("perceel").share == 0.05);
 
     known.stage = rollout_stage::loaded;
     const auto loaded = mesh.view(known);
-    REQUIRE(loaded.on_trial("perceel").members.size() == 1);
-    known.suspects = {loaded.on_trial("perceel").members[0]->target_id};
+    REQUIRE(loaded.canaries_of("perceel").members.size() == 1);
+    known.regressed_targets = {
+        loaded.canaries_of("perceel").members[0]->target_id};
     const auto after = mesh.view(known);
-    REQUIRE(after.on_trial("perceel").members.size() == 1);
-    CHECK(after.on_trial("perceel").members[0]->target_id != known.suspects[0]);
+    REQUIRE(after.canaries_of("perceel").members.size() == 1);
+    CHECK(after.canaries_of("perceel").members[0]->target_id !=
+          known.regressed_targets[0]);
 
     known.stage = rollout_stage::half;
-    CHECK(mesh.view(known).on_trial("perceel").members.size() == 7);
+    CHECK(mesh.view(known).canaries_of("perceel").members.size() == 7);
     known.stage = rollout_stage::all;
     CHECK(mesh.view(known).of("perceel").size() == 11);
     CHECK(all_of_release(mesh.view(known).of("perceel"), "v2"));
@@ -182,7 +184,7 @@
     CHECK(all_of_release(mesh.view(known).of("perceel"), "v2"));
     known.state = rollout_state::rolled_back;
     CHECK(all_of_release(mesh.view(known).of("perceel"), "v1"));
-    CHECK(mesh.view(known).on_trial("perceel").members.empty());
+    CHECK(mesh.view(known).canaries_of("perceel").members.empty());
 }
 
 TEST_CASE("a release without an order gets the least share only")
@@ -191,12 +193,12 @@
     const service_targets view(mesh.members,
                                rollout_view({}, {{"perceel", "v2"}}, 0.1));
     CHECK(all_of_release(view.of("perceel"), "v2"));
-    CHECK(all_of_release(view.on_trial("perceel").members, "v1"));
-    CHECK(view.on_trial("perceel").share == 0.05);
+    CHECK(all_of_release(view.canaries_of("perceel").members, "v1"));
+    CHECK(view.canaries_of("perceel").share == 0.05);
     // A node that has just started takes the release of most targets as stable.
     const service_targets without_view(mesh.members);
     CHECK(all_of_release(without_view.of("perceel"), "v1"));
-    CHECK(without_view.on_trial("perceel").members.size() == 3);
+    CHECK(without_view.canaries_of("perceel").members.size() == 3);
 }
 
 TEST_CASE("the only release of a service gets its calls without an order")
--- a/tests/unit/routing.cpp
+++ b/tests/unit/routing.cpp
@@ -160,7 +160,7 @@
     const auto ran = [&](std::uint16_t port, const work_class& work, double ms)
     {
         const address owner{"127.0.0.1", port};
-        owner_word report;
+        load_report report;
         report.load = 0.5;
         report.slots = 13;
         report.run_ms = ms;
@@ -200,7 +200,7 @@
                          std::size_t answer_bytes)
     {
         const address owner{"127.0.0.1", port};
-        owner_word report;
+        load_report report;
         report.load = 0.1;
         report.slots = 13;
         report.run_ms = ms;
--- a/tests/unit/rpc_and_metrics.cpp
+++ b/tests/unit/rpc_and_metrics.cpp
@@ -69,7 +69,7 @@
     CHECK(sum.total() == 40);
     CHECK(sum.at() == 10);
     CHECK(sum.domains.at("d0").at == 10);
-    CHECK(sum.laggards.size() == watch_report::most_named);
+    CHECK(sum.laggards.size() == watch_report::max_named);
 }
 
 TEST_CASE("a histogram gives quantiles within its bucket width")
--- a/tests/unit/run_statistics.cpp
+++ b/tests/unit/run_statistics.cpp
@@ -33,7 +33,7 @@
     CHECK(stats.counts().at(work).failed == 1);
     stats.set_target("new");
     CHECK(stats.counts().empty());
-    CHECK(stats.taken_count() == 0);
+    CHECK(stats.started_count() == 0);
     // A run of the earlier start that ends now.
     stats.run_finished("old", work, answered(500), {});
     CHECK(stats.counts().empty());
--- a/tests/unit/simulated_crashes.cpp
+++ b/tests/unit/simulated_crashes.cpp
@@ -80,7 +80,7 @@
     {
         int known_at = 0;
         std::uint16_t port = 0;
-        std::optional<target_end> crash;
+        std::optional<target_crash> crash;
         std::optional<good_run> run;
     };
 
@@ -109,14 +109,15 @@
                 m_mesh.report(received.port, *received.run);
             m_updates.pop_front();
         }
-        m_view = suspect_calls_ptr(new suspect_calls(m_mesh.members));
+        m_view = poison_calls_ptr(new poison_calls(m_mesh.members));
     }
 
     void send(const std::string& call, const std::vector<address>& crashed_at)
     {
-        if (const auto quarantine = m_view->hold_of(call, crashed_at, clock()))
+        if (const auto quarantine =
+                m_view->quarantine_of(call, crashed_at, clock()))
         {
-            if (quarantine->may_be_tried(m_answered.contains(call)))
+            if (quarantine->may_be_probed(m_answered.contains(call)))
                 return probe(call);
             return crashed_at.empty() ? note_quarantined(call) : void();
         }
@@ -210,14 +211,14 @@
         {
             each.crashed_at.push_back(owner);
             if (each.crashed_at.size() < most_attempts ||
-                m_view->hold_of(each.call, each.crashed_at, clock()))
+                m_view->quarantine_of(each.call, each.crashed_at, clock()))
                 send(each.call, each.crashed_at);
         }
     }
 
     random_source m_random;
     reported_crashes m_mesh;
-    suspect_calls_ptr m_view{new suspect_calls};
+    poison_calls_ptr m_view{new poison_calls};
     std::array<target, target_count> m_targets;
     std::deque<update> m_updates;
     std::set<std::string> m_answered;
--- a/tests/unit/store_role.cpp
+++ b/tests/unit/store_role.cpp
@@ -1,6 +1,6 @@
 /** @file Store roles, reader ranks and routes updates. */
 #include "tillerhall/distribution/store_role.hpp"
-#include "tillerhall/control/routes_word.hpp"
+#include "tillerhall/control/routes_update.hpp"
 #include "tillerhall/core/base64.hpp"
 #include "tillerhall/core/packing.hpp"
 #include "tillerhall/distribution/key_range.hpp"
@@ -23,10 +23,10 @@
 TEST_CASE("without updates every node asks the store and candidates announce")
 {
     const store_role_choice alone;
-    CHECK(alone.at(0, start) == store_duty::speak);
+    CHECK(alone.at(0, start) == store_role::announce);
     CHECK(alone.at(store_role_choice::candidates - 1, start) ==
-          store_duty::speak);
-    CHECK(alone.at(store_role_choice::candidates, start) == store_duty::poll);
+          store_role::announce);
+    CHECK(alone.at(store_role_choice::candidates, start) == store_role::poll);
 }
 
 TEST_CASE("a node listens until its newest update exceeds the staleness limit")
@@ -40,11 +40,11 @@
                  store_role_choice role;
                  role.update_received(0, rank, age, start);
                  const bool fresh = age < store_role_choice::staleness_limit;
-                 RC_ASSERT((role.at(rank, start) == store_duty::listen) ==
+                 RC_ASSERT((role.at(rank, start) == store_role::listen) ==
                            fresh);
                  const auto stale_from =
                      start - age + store_role_choice::staleness_limit;
-                 RC_ASSERT(role.at(rank, stale_from) != store_duty::listen);
+                 RC_ASSERT(role.at(rank, stale_from) != store_role::listen);
              });
 }
 
@@ -71,8 +71,8 @@
             store_role_choice at_worse;
             at_better.update_received(worse, better, milliseconds(0), start);
             at_worse.update_received(better, worse, milliseconds(0), start);
-            RC_ASSERT(at_better.at(better, start) == store_duty::speak);
-            RC_ASSERT(at_worse.at(worse, start) == store_duty::listen);
+            RC_ASSERT(at_better.at(better, start) == store_role::announce);
+            RC_ASSERT(at_worse.at(worse, start) == store_role::listen);
         });
 }
 
@@ -115,7 +115,7 @@
 
 TEST_CASE("a routes update survives a round trip through JSON")
 {
-    routes_word sent;
+    routes_update sent;
     sent.reader = "10.0.0.1:7400";
     sent.rank = 2;
     sent.version = 90;
@@ -123,7 +123,7 @@
     sent.store_age_ms = 17;
     sent.packed = pack_text("routes");
     sent.range = {5, 900};
-    const auto read = routes_word_from_json(to_json(sent));
+    const auto read = routes_update_from_json(to_json(sent));
     CHECK(read.reader == sent.reader);
     CHECK(read.rank == sent.rank);
     CHECK(read.version == sent.version);
@@ -133,7 +133,7 @@
     CHECK(read.range == sent.range);
     auto cut = to_json(sent);
     cut.erase("v");
-    CHECK_THROWS(routes_word_from_json(cut));
+    CHECK_THROWS(routes_update_from_json(cut));
 }
 
 TEST_CASE("packed texts unpack unchanged and truncated ones are refused")
@@ -155,7 +155,7 @@
 
 TEST_CASE("a text that unpacks to more than the limit is refused")
 {
-    const auto packed = pack_text(std::string(longest_unpacked + 1, 'x'));
+    const auto packed = pack_text(std::string(max_unpacked_bytes + 1, 'x'));
     const auto read = unpack_text(packed);
     REQUIRE_FALSE(read);
     CHECK(read.reason().code() == error_code::too_large);
@@ -169,12 +169,12 @@
     role.store_answered(start);
     const auto later =
         start + store_role_choice::staleness_limit - milliseconds(1);
-    CHECK(role.at(no_candidate, later) == store_duty::listen);
-    CHECK(role.at(1, later) == store_duty::listen);
-    CHECK(role.at(0, later) == store_duty::speak);
+    CHECK(role.at(no_candidate, later) == store_role::listen);
+    CHECK(role.at(1, later) == store_role::listen);
+    CHECK(role.at(0, later) == store_role::announce);
     CHECK(role.at(no_candidate, start + store_role_choice::staleness_limit) ==
-          store_duty::poll);
+          store_role::poll);
     role.update_received(0, no_candidate, milliseconds(0), later);
     CHECK(role.at(no_candidate, start + store_role_choice::staleness_limit) ==
-          store_duty::listen);
+          store_role::listen);
 }
--- a/tests/unit/target_register.cpp
+++ b/tests/unit/target_registry.cpp
@@ -1,4 +1,4 @@
-#include "tillerhall/targets/target_register.hpp"
+#include "tillerhall/targets/target_registry.hpp"
 
 #include <catch2/catch.hpp>
 #include <rapidcheck/catch.h>
@@ -22,10 +22,10 @@
     return report;
 }
 
-target_register open_register()
+target_registry open_register()
 {
-    target_register targets;
-    targets.set_marks_known();
+    target_registry targets;
+    targets.set_departures_known();
     return targets;
 }
 
@@ -38,7 +38,7 @@
         "for any order of reports, restarts and reads of departure records",
         []
         {
-            target_register targets;
+            target_registry targets;
             std::set<std::string> acknowledged; // departures
             const auto steps = *rc::gen::inRange(1, 40);
             for (int i = 0; i < steps; ++i)
@@ -54,12 +54,12 @@
                     acknowledged.insert(id);
                     break;
                 case 1: // the node is killed; stored records are read later
-                    targets = target_register();
+                    targets = target_registry();
                     break;
                 case 2:
                     for (const auto& each : acknowledged)
-                        targets.mark_left(each);
-                    targets.set_marks_known();
+                        targets.record_departure(each);
+                    targets.set_departures_known();
                     break;
                 default:
                     targets.take(
@@ -77,11 +77,11 @@
 
 TEST_CASE("no target is in use before the departure records are read")
 {
-    target_register targets;
+    target_registry targets;
     targets.take(report_of("a", report_state::ready, 1), {});
     CHECK(targets.in_use() == nullptr);
     CHECK(targets.newest() != nullptr);
-    targets.set_marks_known();
+    targets.set_departures_known();
     REQUIRE(targets.in_use() != nullptr);
     CHECK(targets.in_use()->id == "a");
 }
@@ -128,9 +128,9 @@
 {
     auto targets = open_register();
     for (int i = 0; i < 50; ++i)
-        targets.mark_left("t" + std::to_string(i));
-    CHECK(targets.left().size() == target_register::most_departures);
-    CHECK(targets.has_left("t49"));
+        targets.record_departure("t" + std::to_string(i));
+    CHECK(targets.departed().size() == target_registry::most_departures);
+    CHECK(targets.has_departed("t49"));
 }
 
 TEST_CASE("a target that restarts under the same id is a new one")
@@ -163,10 +163,10 @@
     CHECK(targets.take(report(2'000, ready, 3), now) == report_verdict::stale);
     CHECK(targets.take(report(3'000, ready, 1), now) == report_verdict::opened);
     // Departure records apply to their start only, also after a restart.
-    target_register again;
-    for (const auto& each : targets.left())
-        again.mark_left(each);
-    again.set_marks_known();
+    target_registry again;
+    for (const auto& each : targets.departed())
+        again.record_departure(each);
+    again.set_departures_known();
     CHECK(again.take(report(2'000, ready, 9), now) == report_verdict::stale);
     CHECK(again.take(report(3'000, ready, 2), now) == report_verdict::opened);
 }
@@ -204,7 +204,7 @@
     const time_point now{std::chrono::hours(1)};
     targets.take(report_of("t", report_state::ready, 1), now);
     CHECK_FALSE(targets.is_cold(now));
-    targets.suppose_cold(std::chrono::seconds(3), now);
+    targets.assume_cold(std::chrono::seconds(3), now);
     CHECK(targets.is_cold(now + std::chrono::seconds(2)));
     targets.take(report_of("t", report_state::ready, 2),
                  now + std::chrono::seconds(1));
--- a/tests/unit/body_grants.cpp
+++ b/tests/unit/transfer_slots.cpp
@@ -4,7 +4,7 @@
  * Guards against short calls that time out behind large bodies which several
  * entries send to the same host at once.
  */
-#include "tillerhall/routing/body_grants.hpp"
+#include "tillerhall/routing/transfer_slots.hpp"
 #include "tillerhall/core/random.hpp"
 
 #include <algorithm>
@@ -149,7 +149,7 @@
 
     random_source m_random;
     bool m_with_slots;
-    std::vector<body_grants> m_grants;
+    std::vector<transfer_slots> m_grants;
     std::array<double, hosts> m_clear_at{};
     std::multimap<int, std::size_t> m_in_transit;
     std::multimap<int, waiting_body> m_waiting;
@@ -192,8 +192,8 @@
 
 TEST_CASE("a fast link or one of unknown rate grants every claim at once")
 {
-    body_grants unknown(0);
-    body_grants fast(1000);
+    transfer_slots unknown(0);
+    transfer_slots fast(1000);
     const time_point start{std::chrono::hours(1)};
     for (int i = 0; i < 20; ++i)
     {
@@ -204,7 +204,7 @@
 
 TEST_CASE("a refused claim gets the time until the link is nearly free")
 {
-    body_grants link(7);
+    transfer_slots link(7);
     const time_point start{std::chrono::hours(1)};
     CHECK(link.claim(body_bytes, start) == duration::zero());
     const auto wait = link.claim(body_bytes, start);
