--- a/include/tillerhall/membership/good_run.hpp
+++ b/include/tillerhall/membership/good_run.hpp
@@ -1,4 +1,4 @@
-/** @file A call that ran well although a target had crashed under it. */
+/** @file A successful run of a call that was listed in a crash. */
 #pragma once
 
 #include <cstdint>
@@ -7,8 +7,8 @@
 namespace tillerhall
 {
 
-/** An owner's report that a call runs repeatedly at its target without a
- * crash. */
+/** An owner's report that a call which was listed in a crash has run at its
+ * target without one. */
 struct good_run
 {
     std::string call;        ///< fingerprint
--- a/include/tillerhall/membership/heartbeat_schedule.hpp
+++ b/include/tillerhall/membership/heartbeat_schedule.hpp
@@ -15,7 +15,7 @@
  * The ring (members ordered by the hash of their address) gives each node a
  * bounded set of monitors. The random peers spread rumors in O(log N) rounds
  * (Demers et al., PODC 1987) and reach members that a broadcast missed.
- * Periodically a dead member is tried, so that a partitioned mesh merges
+ * Periodically a dead member is contacted, so that a partitioned mesh merges
  * again once the partition heals.
  */
 class heartbeat_schedule
--- a/include/tillerhall/membership/member.hpp
+++ b/include/tillerhall/membership/member.hpp
@@ -58,18 +58,18 @@
     address target;
     std::string target_id; ///< of its current start; empty if not reported
     std::string release;   ///< of the target's software; empty if not reported
-    /** Ids of starts of the target that have left, newest last. */
+    /** Ids of earlier starts of the target that have departed, newest last. */
     std::vector<std::string> left_targets;
     std::uint32_t link_mbps = 0; ///< of the host's link; 0 if unknown
     /** Crashes of the target while calls ran there, newest last. */
     std::vector<target_crash> target_crashes;
-    /** Calls that ran well here although targets had crashed under them,
-     * newest last. */
+    /** Runs without a crash of calls that were listed in crashes, newest
+     * last. */
     std::vector<good_run> good_runs;
     target_state target_is = target_state::serving;
     member_state state = member_state::alive;
-    /** Unix time in ms at the start, raised to refute; the record with the
-     * greater incarnation wins. */
+    /** Unix time in ms at the start, raised to refute a suspicion; the record
+     * with the greater incarnation wins. */
     std::uint64_t incarnation = 0;
 
     bool operator==(const member&) const = default;
@@ -79,8 +79,9 @@
 bool supersedes(const member& offered, const member& known) noexcept;
 
 /**
- * Adds departed target starts to @p to. A start that has left never returns,
- * so entries from earlier boots of the node stay valid. Keeps the newest 8.
+ * Adds departed target starts to @p to. A start that has departed never
+ * returns, so entries from earlier boots of the node stay valid. Keeps the
+ * newest 8.
  * @return true if any was new.
  */
 bool add_left_targets(member& to, const std::vector<std::string>& left);
--- a/include/tillerhall/node/accept_controller.hpp
+++ b/include/tillerhall/node/accept_controller.hpp
@@ -56,7 +56,7 @@
     {
     }
 
-    /** Accepts or refuses; on success the version is being distributed. */
+    /** Accepts or refuses; on success starts to distribute the version. */
     accept_outcome accept(accept_request request);
 
     /** @return all problems of @p table, without accepting it. */
--- a/include/tillerhall/node/claim_controller.hpp
+++ b/include/tillerhall/node/claim_controller.hpp
@@ -59,7 +59,7 @@
     /** Starts the loop that writes batches of claims. */
     void start();
 
-    /** Claims @p key for a call with body digest @p body, by the shard's
+    /** Claims @p key for a call with body digest @p body, through the shard's
      * coordinator. */
     claim_answer claim_key(const std::string& key, const std::string& body);
 
--- a/include/tillerhall/node/crash_registry.hpp
+++ b/include/tillerhall/node/crash_registry.hpp
@@ -1,4 +1,5 @@
-/** @file Calls running at the target of a node that follows the table. */
+/** @file Reports which calls were running at the target when it crashed, on a
+ * node that routes by the operators' table. */
 #pragma once
 
 #include "tillerhall/membership/good_run.hpp"
@@ -32,7 +33,7 @@
 class crash_registry
 {
 public:
-    /** Called on any worker with what shall be announced to the other nodes. */
+    /** Called on any worker with a report for the other nodes. */
     struct callbacks
     {
         std::function<void(const target_crash&)> crashed;
--- a/include/tillerhall/node/distribution_controller.hpp
+++ b/include/tillerhall/node/distribution_controller.hpp
@@ -35,8 +35,8 @@
     /** Pulls from @p peer. @return true if it answered. */
     bool pull_now(const address& peer);
 
-    /** Rebuilds the routes and retries held versions after member records have
-     * changed. */
+    /** Rebuilds the routes and retries versions that wait in the gate, after
+     * member records have changed. */
     void members_changed();
 
     /** @return which live members and suspects have reached @p version. */
--- a/include/tillerhall/node/mesh_node.hpp
+++ b/include/tillerhall/node/mesh_node.hpp
@@ -24,15 +24,15 @@
     route_source routes;
     rollout_source rollouts;
 
-    /** Returns the failure domain that a row of the routes' table orders to be
-     * drained, or nothing. */
+    /** Returns the failure domain whose drain a row of the routes' table
+     * orders, or nullopt if it is no such row. */
     std::function<std::optional<std::string>(const stored_row&)> drained_domain;
 
     /** Opens the store for use by fibers of the worker. */
     std::function<std::unique_ptr<row_store>(worker&, const settings&)>
         open_store;
 
-    /** Returns nothing if the request is not a report, else the decoded report
+    /** Returns nullopt if the request is not a report, else the decoded report
      * or the error. */
     std::function<std::optional<result<target_report>>(const http_request&)>
         read_report;
--- a/include/tillerhall/node/range_send.hpp
+++ b/include/tillerhall/node/range_send.hpp
@@ -20,9 +20,9 @@
 };
 
 /**
- * Splits @p range into `fanout` parts and sends each to one member in it, to
- * up to three of them until one answers. Returns at once. A member
- * that is missed is updated by the next message or by heartbeats.
+ * Splits @p range into `fanout` parts and sends the message to one member of
+ * each; if it doesn't answer, to up to two others in turn. Returns at once. A
+ * member that is missed is updated by the next message or by heartbeats.
  */
 void send_to_range(mesh_state& mesh,
                    const range_message& message,
--- a/src/node/entry_claims.cpp
+++ b/src/node/entry_claims.cpp
@@ -82,8 +82,8 @@
         claim_key_of(call.head(), failed ? "" : remote.address().to_string());
     if (context.claim_key.empty())
         return run_with_retries(call, context);
-    // The claim outlives the call, so the deadline of a node that resumes after
-    // a pause has passed before the key can be claimed again.
+    // The claim outlives the deadline, so a node that resumes after a pause
+    // doesn't run the call once its key can be claimed again.
     context.deadline =
         std::min(context.deadline, context.start + max_claimed_call);
     const auto body = body_digest(call);
--- a/src/node/membership_broadcast.cpp
+++ b/src/node/membership_broadcast.cpp
@@ -17,7 +17,7 @@
 // Announcements within this time share a broadcast. When many nodes start at
 // once each node receives each record once, instead of many times as a rumor.
 constexpr milliseconds min_batch_delay(100);
-// Delay per member: bounds the messages that each node receives a second from
+// Delay per member: bounds the messages that each node receives per second from
 // one failure domain, however many nodes start at once.
 constexpr std::chrono::microseconds batch_delay_per_member(250);
 
--- a/src/node/mesh_node.cpp
+++ b/src/node/mesh_node.cpp
@@ -25,11 +25,11 @@
 // Readiness is checked each second and a node is removed after two failed
 // checks; until then it still receives calls.
 constexpr milliseconds max_leaving_time(3'000);
-// Time after serving ends, so that the last refusals are delivered.
+// Time after the node stops serving, so that the last refusals are delivered.
 constexpr milliseconds min_ending(200);
 // Part of the grace period that is reserved for delivering the last answers.
 constexpr milliseconds stop_margin(600);
-// Part of that margin for the responses to calls that are ended unanswered.
+// Part of that margin for the error responses to calls still running then.
 constexpr milliseconds last_answers_wait(200);
 constexpr milliseconds poll_interval(50);
 // Largest share of the grace period in which new calls are served: 3/5.
--- a/src/node/operator_api.cpp
+++ b/src/node/operator_api.cpp
@@ -37,7 +37,7 @@
                : std::string();
 }
 
-/** Returns the version number, 0 if absent, or nothing if malformed. */
+/** Returns the version number, 0 if absent, or nullopt if malformed. */
 std::optional<std::uint64_t> version_param(const http_request& request)
 {
     const auto text = request.param("version", "0");
--- a/src/node/source_controller.cpp
+++ b/src/node/source_controller.cpp
@@ -14,8 +14,8 @@
 constexpr milliseconds max_join_wait(5000);
 // A reader waits this long for a push before it reads a new version itself.
 constexpr milliseconds push_grace(300);
-// A node that is no reader reads after this many polls without a read by any
-// node.
+// A node that isn't a reader reads the source itself after this many polls
+// without a read by any node.
 constexpr int polls_before_reading = 5;
 // Up to this many versions behind, version records are read instead of the
 // table.
