--- a/include/tillerhall/node/messages.hpp
+++ b/include/tillerhall/node/messages.hpp
@@ -63,7 +63,7 @@
     std::set<std::string> services;
     std::set<std::string> places;
     std::uint64_t version = 0;
-    /** Greatest version seen at the joiner's address. */
+    /** Greatest version that a node at the joiner's address has reported. */
     std::uint64_t floor = 0;
     std::int64_t source_age_ms = -1;
 };
@@ -153,8 +153,8 @@
 boost::json::object to_json(const watch_report& sent);
 boost::json::object to_json(const member_list::bucket_digests& sent);
 
-/** The readers throw std::exception on a malformed message; the RPC layer
- * counts these. */
+/** The functions that read JSON throw std::exception on a malformed message;
+ * the RPC layer counts these messages. */
 heartbeat_message heartbeat_from_json(const boost::json::object& members);
 join_request join_request_from_json(const boost::json::object& members);
 join_answer join_answer_from_json(const boost::json::object& members);
--- a/include/tillerhall/node/settings.hpp
+++ b/include/tillerhall/node/settings.hpp
@@ -66,7 +66,7 @@
     std::string policy = "two_choices";
 
     /** Greatest share of a service's calls that a release may get before it is
-     * shown to be non-inferior; see `rollout_plan`. */
+     * shown to be non-inferior; see rollout_plan.hpp. */
     double exposure_share = 0.1;
 
     /** Overage of an account's quota that all nodes together may reach while
--- a/include/tillerhall/node/source_controller.hpp
+++ b/include/tillerhall/node/source_controller.hpp
@@ -23,7 +23,8 @@
                       table_store& store,
                       host_list& hosts);
 
-    /** Joins the mesh by the seeds or the host list, then starts polling. */
+    /** Joins the mesh through the seeds or the host list, then starts polling.
+     */
     void start();
 
 private:
