--- a/include/tillerhall/core/result.hpp
+++ b/include/tillerhall/core/result.hpp
@@ -9,7 +9,7 @@
 namespace tillerhall
 {
 
-/** A value, or the error because of which there is none. */
+/** The value that an operation returns, or the error if it failed. */
 template <class T>
 class result
 {
--- a/src/core/heap.cpp
+++ b/src/core/heap.cpp
@@ -10,7 +10,7 @@
 // Above the size of most call bodies, for which a system call each would cost
 // too much, and below that of the routes and row pages of a large mesh.
 constexpr int mmap_threshold_bytes = 96 * 1024;
-// Free space at the top of the heap that is returned to the system.
+// Free space at the top of the heap above this is returned to the system.
 constexpr int trim_threshold_bytes = 256 * 1024;
 
 } // namespace
--- a/src/core/worker.cpp
+++ b/src/core/worker.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-// Well above the deepest use, by JSON parsing and Beast's operations.
+// Well above the deepest stack use, in JSON parsing and Beast's operations.
 constexpr std::size_t stack_bytes = 128 * 1024;
 
 boost::fibers::fiber start_fiber(worker::task body)
