--- a/include/tillerhall/http/byte_backlog.hpp
+++ b/include/tillerhall/http/byte_backlog.hpp
@@ -1,4 +1,4 @@
-/** @file Counts the bytes of bodies total transit to this node. */
+/** @file Counts the bytes of bodies in transit to this node. */
 #pragma once
 
 #include <cstdint>
--- a/include/tillerhall/http/cancel_scope.hpp
+++ b/include/tillerhall/http/cancel_scope.hpp
@@ -15,7 +15,7 @@
 class cancel_scope
 {
 public:
-    /** Sets the action that ends the present wait; null without a wait. */
+    /** Sets the action that ends the present wait; null if nothing waits. */
     void set_action(std::function<void()> action)
     {
         m_action = std::move(action);
--- a/include/tillerhall/http/exchange.hpp
+++ b/include/tillerhall/http/exchange.hpp
@@ -16,7 +16,7 @@
 {
     answered,  ///< a complete response with the request's id arrived
     not_sent,  ///< no byte of the request can have arrived
-    unknown,   ///< it may have arrived; no complete response did
+    unknown,   ///< the request may have arrived; no complete response did
     timed_out, ///< as `unknown`, after the deadline
     cancelled  ///< the client disconnected
 };
--- a/include/tillerhall/http/inbound_call.hpp
+++ b/include/tillerhall/http/inbound_call.hpp
@@ -53,7 +53,8 @@
     const request_head& head() const { return m_parser.get().base(); }
     const std::string& prefix() const noexcept { return m_prefix; }
 
-    /** @return true if no piece was read: the prefix is all that was sent. */
+    /** @return true if the call can be sent again: nothing after the prefix was
+     * read. */
     bool can_retry() const noexcept { return !m_pieces_read; }
 
     /** @return the Content-Length, if there is one. */
--- a/include/tillerhall/http/relay.hpp
+++ b/include/tillerhall/http/relay.hpp
@@ -13,7 +13,7 @@
 enum class relay_end
 {
     answered,   ///< the complete answer was sent to the caller
-    not_run,    ///< it did not run; nothing was sent to the caller
+    not_run,    ///< the call did not run; nothing was sent to the caller
     unknown,    ///< it may have run; nothing was sent to the caller
     timed_out,  ///< it may have run; nothing was sent to the caller
     cut,        ///< the caller got part of an answer and was disconnected
--- a/include/tillerhall/http/stream.hpp
+++ b/include/tillerhall/http/stream.hpp
@@ -37,7 +37,8 @@
 
 /**
  * Makes @p stream fail when sent data is not acknowledged within @p limit, and
- * turns on TCP keepalive: a host that is lost closes no connection.
+ * turns on TCP keepalive, since a host that is lost does not close its
+ * connections.
  */
 void set_user_timeout(tcp_stream& stream, duration limit);
 
--- a/src/http/call_session.cpp
+++ b/src/http/call_session.cpp
@@ -27,7 +27,7 @@
 constexpr milliseconds busy_check_limit(20);
 // A typical request head; each idle connection holds a buffer of this size.
 constexpr std::size_t first_read_bytes = 512;
-// A typical head of an answer with its frames, for the link scheduler.
+// Typical size of a response head with packet headers, for the link scheduler.
 constexpr std::uint64_t head_bytes = 300;
 constexpr std::string_view continue_line = "HTTP/1.1 100 Continue\r\n\r\n";
 
@@ -94,7 +94,7 @@
     }
     m_arrived = m_worker.earliest_arrival();
     m_buffer.commit(size);
-    if (!m_closing) // m_reading stays set until the fiber has handled them
+    if (!m_closing) // m_reading stays set until the fiber has handled the bytes
         return m_worker.spawn([self = shared_from_this()]
                               { self->read_calls(); });
     // After the last answer: discard the input, see linger_time.
@@ -187,7 +187,8 @@
     }
     const bool awaits_continue = boost::beast::iequals(
         parser.get()[http::field::expect], "100-continue");
-    // While an earlier answer is due, the client would take this line for it.
+    // While an earlier call is pending, the client would take 100 (Continue)
+    // for a response to it.
     if (awaits_continue && m_pending.empty() && !send_continue())
         return false;
     const byte_backlog::body in_transit(m_host.incoming,
--- a/src/http/exchange.cpp
+++ b/src/http/exchange.cpp
@@ -23,7 +23,7 @@
 // A body up to this size fits into a socket's default send buffer, so that
 // writing it does not wait for the peer to read.
 constexpr std::size_t inline_body_bytes = 8 * 1024;
-// Late responses to earlier requests are skipped; more are a faulty sender.
+// Late responses to earlier requests are skipped; more mean a faulty sender.
 constexpr unsigned max_skipped = 4;
 
 /** The state and the steps of one exchange. */
@@ -109,7 +109,7 @@
         m_timed_out = failed == boost::beast::error::timeout;
         m_result.detail =
             failed ? std::string(what) + ": " + failed.message() : what;
-        // Ends the other direction, too.
+        // Also ends the pending operation in the other direction.
         close();
     }
 
--- a/src/http/listener.cpp
+++ b/src/http/listener.cpp
@@ -98,8 +98,9 @@
     {
         auto stream = std::make_shared<tcp_stream>(m_worker.io());
         m_acceptor.accept(stream->socket(), failed);
+        // The queue is empty, or the next async_accept reports the error.
         if (failed)
-            return; // the queue is empty, or the next async_accept fails, too
+            return;
         accept(std::move(stream));
     }
 }
--- a/src/http/relay.cpp
+++ b/src/http/relay.cpp
@@ -247,7 +247,7 @@
                  "the answer broke off: " + failed.message(), failed);
             return;
         }
-        // The deadline of the caller's stream is set apart from the upstream's.
+        // The caller's stream has its own deadline, apart from the upstream's.
         m_call.stream().expires_at(m_plan.deadline);
         if (m_parser->is_done())
             answer_buffered(size);
