--- a/include/tillerhall/observe/burn_tracker.hpp
+++ b/include/tillerhall/observe/burn_tracker.hpp
@@ -52,7 +52,7 @@
     std::uint64_t began_version = 0;     ///< table version in effect then
     std::string cause;                   ///< most frequent cause
     std::uint64_t cause_count = 0;
-    std::map<int, std::uint64_t> latencies; ///< of `latency_histogram`
+    std::map<int, std::uint64_t> latencies; ///< by bucket
 
     /** Adds the entry of another node for the same key. */
     void add(const burn_entry& other);
--- a/include/tillerhall/rpc/client_pool.hpp
+++ b/include/tillerhall/rpc/client_pool.hpp
@@ -44,7 +44,8 @@
 
     /**
      * @return the members of the answer, or an error: connection_failed if no
-     * connection was request, the peer's own error code if it refused the call.
+     * connection could be opened, the peer's own error code if it refused the
+     * call.
      */
     result<boost::json::object> call(const rpc_call& request);
 
