--- a/apps/tiller/burn_report.cpp
+++ b/apps/tiller/burn_report.cpp
@@ -110,7 +110,7 @@
             << y + 11 << "' font-size='11'>" << fixed(rate) << "</text>";
         y += bar_height + 4;
     }
-    // Marks rate 1, which uses up exactly the budget.
+    // A vertical line at rate 1, which uses up exactly the budget.
     svg << "<line x1='" << 34 + width / max_burn_rate << "' x2='"
         << 34 + width / max_burn_rate << "' y1='0' y2='" << y
         << "' stroke='#555' stroke-dasharray='2,2'/></svg>";
