--- a/benchmark/convergence.cpp
+++ b/benchmark/convergence.cpp
@@ -111,7 +111,8 @@
         return built;
     }
 
-    /** Waits until all member lists agree and join rumors have faded. */
+    /** Waits until all member lists agree, then until join rumors are no longer
+     * sent. */
     void wait_for_stable_members()
     {
         m_system.wait_until(
@@ -195,8 +196,8 @@
 }
 
 /** @return poll interval in milliseconds at which polling converges in
- * @p convergence_ms : the last of many nodes sees a change after nearly one
- * interval. */
+ * @p convergence_ms, since the last of many nodes sees a change after nearly
+ * one interval. */
 std::string matching_poll(double convergence_ms)
 {
     constexpr double least_ms = 20;
--- a/benchmark/harness/cluster.hpp
+++ b/benchmark/harness/cluster.hpp
@@ -43,7 +43,8 @@
 cluster_options akkerbond(std::size_t nodes);
 cluster_options blue_mahoe(std::size_t nodes);
 
-/** @return the options of the profile called @p name, or akkerbond's. */
+/** @return the options of the profile called @p name, akkerbond's if unknown.
+ */
 cluster_options profile(const std::string& name, std::size_t nodes);
 
 /** A node process and its addresses. */
--- a/benchmark/slopes.cpp
+++ b/benchmark/slopes.cpp
@@ -19,7 +19,7 @@
 
 namespace json = boost::json;
 
-/** One measured point: a quantity at a size. */
+/** The value of a quantity at one size. */
 struct point
 {
     std::string quantity;
--- a/tests/integration/saturated_worker.cpp
+++ b/tests/integration/saturated_worker.cpp
@@ -56,14 +56,15 @@
     int m_socket;
 };
 
-/** What the node knew of one call when it started. */
+/** The state of one call when it started. */
 struct started_call
 {
     time_point received;
     bool is_cancelled = false;
 };
 
-/** A server that records each call as it starts and answers it empty. */
+/** A server that records each call as it starts and answers it with an empty
+ * response. */
 struct recording_server
 {
     explicit recording_server(worker& on)
@@ -115,7 +116,7 @@
         [](worker&, recording_server& node)
         {
             constexpr std::size_t waiting = 100;
-            // Accepting, reading and starting a call take a pass each.
+            // Accepting, reading and starting a call take one pass each.
             constexpr std::size_t max_passes = 12;
             std::vector<std::unique_ptr<raw_client>> clients;
             for (std::size_t i = 0; i < waiting; ++i)
--- a/tests/integration/stream_pool.cpp
+++ b/tests/integration/stream_pool.cpp
@@ -1,5 +1,5 @@
-/** @file Expiry of the idle connections of a pool: in a large fleet a node's
- * file descriptors would run out on rarely used connections. */
+/** @file Expiry of idle connections in a pool: otherwise rarely used ones would
+ * exhaust a node's file descriptors in a large fleet. */
 #include "system.hpp"
 
 #include "tillerhall/core/await.hpp"
@@ -54,7 +54,7 @@
             for (std::size_t i = 0; i < count; ++i)
                 use(i, milliseconds(500));
             CHECK(pool.idle_count() == count);
-            // Using a kept connection in time opens no new one.
+            // Using an idle connection before it expires opens no new one.
             use(0, std::chrono::seconds(60));
             CHECK(pool.idle_count() == count);
             sleep_for(on.io(), milliseconds(1'600));
