--- a/include/tillerhall/routing/admission.hpp
+++ b/include/tillerhall/routing/admission.hpp
@@ -67,7 +67,7 @@
  * calling services are served round-robin, so that a service with many waiting
  * calls cannot starve the others; the calls of one service go in order of their
  * due times. A call is refused if its deadline leaves no time for its expected
- * run, or if it would wait longer than it may. Free of I/O apart from the wake
+ * run, or if it would wait longer than it may. Does no I/O apart from the wake
  * functions; not thread-safe, see `call_admission`.
  */
 class admission
--- a/include/tillerhall/routing/answer_backlog.hpp
+++ b/include/tillerhall/routing/answer_backlog.hpp
@@ -12,7 +12,7 @@
  * What is known of the host's link when a call with a large answer arrives.
  * Refuses calls whose answers would be late because the link is backlogged; the
  * runs for them would be wasted and short messages would wait behind the
- * answers. Free of I/O.
+ * answers. Does no I/O.
  */
 struct answer_backlog
 {
--- a/include/tillerhall/routing/answer_sizes.hpp
+++ b/include/tillerhall/routing/answer_sizes.hpp
@@ -10,7 +10,7 @@
 {
 
 /**
- * Decaying means of answer body sizes by class of work, in bytes. Free of I/O.
+ * Decaying means of answer body sizes by class of work, in bytes. Does no I/O.
  */
 class answer_sizes
 {
--- a/include/tillerhall/routing/claim_shard.hpp
+++ b/include/tillerhall/routing/claim_shard.hpp
@@ -39,7 +39,7 @@
  * The claims of the last minutes in a ring of items, one item a minute. A write
  * of any claim is conditional on the revisions of all items of the ring, so two
  * writers never both take a key to be free. Items of expired minutes are
- * overwritten, so the number of items is fixed. Free of I/O.
+ * overwritten, so the number of items is fixed. Does no I/O.
  */
 class claim_shard
 {
--- a/include/tillerhall/routing/cold_rate_limiter.hpp
+++ b/include/tillerhall/routing/cold_rate_limiter.hpp
@@ -16,8 +16,8 @@
  * well above it; after an outage a whole failure domain of such targets starts
  * at once. Calls also count while the target is warm, since it may become cold
  * while they are still running. The calls sent by a previous run of this
- * process are not known, so a cold target gets none in the first second. Free
- * of I/O.
+ * process are not known, so a cold target gets none in the first second. Does
+ * no I/O.
  */
 class cold_rate_limiter
 {
--- a/include/tillerhall/routing/deadline_budgets.hpp
+++ b/include/tillerhall/routing/deadline_budgets.hpp
@@ -16,7 +16,7 @@
  * Clients that retry a refused call send it with the remaining time of their
  * deadline. The longest recent remaining time of a class of work is taken as
  * the clients' deadline budget; the time that a call lacks has passed since its
- * first attempt. Free of I/O.
+ * first attempt. Does no I/O.
  */
 class deadline_budgets
 {
--- a/include/tillerhall/routing/failure_shedder.hpp
+++ b/include/tillerhall/routing/failure_shedder.hpp
@@ -21,7 +21,7 @@
  * failures that are due to a lack of capacity count: where calls fail for other
  * reasons, fewer runs would fail no less often. The share follows the last one
  * to two seconds, however few runs there are, so that shedding stops soon after
- * the cause is gone. Free of I/O.
+ * the cause is gone. Does no I/O.
  */
 class failure_shedder
 {
--- a/include/tillerhall/routing/fleet_retry_budget.hpp
+++ b/include/tillerhall/routing/fleet_retry_budget.hpp
@@ -24,7 +24,7 @@
  * share of `ratio` with each call of this node. In any window a node spends at
  * most its bucket and its gains, so the fleet spends at most extra + ratio x
  * calls. The bucket starts empty, so that repeated restarts of the fleet gain
- * nothing. Free of I/O; not thread-safe.
+ * nothing. Does no I/O; not thread-safe.
  */
 class fleet_retry_budget
 {
--- a/include/tillerhall/routing/link_schedule.hpp
+++ b/include/tillerhall/routing/link_schedule.hpp
@@ -29,7 +29,7 @@
  *
  * Whether the link is free is computed from the bytes handed to it and its
  * rate: a socket accepts a body long before the link has carried it, and a
- * receiver that does not read must not hold up the others. Free of I/O apart
+ * receiver that does not read must not hold up the others. Does no I/O apart
  * from the wake functions.
  */
 class link_schedule
--- a/include/tillerhall/routing/load_inquiry.hpp
+++ b/include/tillerhall/routing/load_inquiry.hpp
@@ -31,7 +31,7 @@
  *
  * Load queries must not add to an overload: only the first attempt of a call
  * asks, few owners are asked where most are full, and the queries of a node are
- * rate-limited. Free of I/O.
+ * rate-limited. Does no I/O.
  */
 class load_inquiry
 {
--- a/include/tillerhall/routing/objectives_in_use.hpp
+++ b/include/tillerhall/routing/objectives_in_use.hpp
@@ -12,7 +12,7 @@
 /**
  * Recognizes calls whose objective is short compared with the longest one in
  * use. Objectives of routes with hardly any calls do not count: a configuration
- * version may hold hundreds of them with any objective. Free of I/O.
+ * version may hold hundreds of them with any objective. Does no I/O.
  */
 class objectives_in_use
 {
--- a/include/tillerhall/routing/poison_calls.hpp
+++ b/include/tillerhall/routing/poison_calls.hpp
@@ -70,7 +70,7 @@
  * since each probe may cost a target.
  *
  * Used by owners, which are the only way to their targets, and by entries,
- * which then refuse at once. Free of I/O.
+ * which then refuse at once. Does no I/O.
  */
 class poison_calls : public boost::intrusive_ref_counter<poison_calls>
 {
--- a/include/tillerhall/routing/refusal_cache.hpp
+++ b/include/tillerhall/routing/refusal_cache.hpp
@@ -35,7 +35,7 @@
  * served.
  *
  * Kept by class of work, so that a refused read does not block a booking, and
- * separately for retries, which are refused earlier. Free of I/O.
+ * separately for retries, which are refused earlier. Does no I/O.
  */
 class refusal_cache
 {
--- a/include/tillerhall/routing/retry_budget.hpp
+++ b/include/tillerhall/routing/retry_budget.hpp
@@ -8,7 +8,7 @@
 
 /**
  * Each call adds a fraction of a token; a retry takes a whole one. Retries
- * never add more than that share to the load, even if every call fails. Free of
+ * never add more than that share to the load, even if every call fails. Does no
  * I/O; not thread-safe.
  */
 class retry_budget
--- a/include/tillerhall/routing/run_estimates.hpp
+++ b/include/tillerhall/routing/run_estimates.hpp
@@ -12,7 +12,7 @@
 
 /**
  * Decaying means of the run times at one target by class of work. Run times
- * differ much between classes, so one mean would be wrong for all. Free of I/O.
+ * differ much between classes, so one mean would be wrong for all. Does no I/O.
  */
 class run_estimates
 {
--- a/include/tillerhall/routing/share_sequence.hpp
+++ b/include/tillerhall/routing/share_sequence.hpp
@@ -13,7 +13,7 @@
  * A golden-ratio sequence for each route: any run of consecutive calls is
  * spread evenly over the unit interval, so weights are also kept over short
  * spans, where independent random draws would deviate (Kuipers and
- * Niederreiter, Uniform Distribution of Sequences, 1974). Free of I/O; not
+ * Niederreiter, Uniform Distribution of Sequences, 1974). Does no I/O; not
  * thread-safe.
  */
 class share_sequence
--- a/include/tillerhall/routing/transfer_slots.hpp
+++ b/include/tillerhall/routing/transfer_slots.hpp
@@ -18,7 +18,7 @@
  * bodies could share one link and delay every short call behind them. An entry
  * therefore claims a transfer slot before it sends a large body. Granted bodies
  * count at the link's rate from the moment of the grant, whether they have been
- * sent or not (virtual scheduling, as in ITU-T I.371). Free of I/O.
+ * sent or not (virtual scheduling, as in ITU-T I.371). Does no I/O.
  */
 class transfer_slots
 {
--- a/include/tillerhall/targets/target_registry.hpp
+++ b/include/tillerhall/targets/target_registry.hpp
@@ -34,7 +34,7 @@
  * last is in use; an older one takes over again only with a sequence that it
  * has not used. No target is in use before `departures_known`: after a restart
  * the node must not trust a report that may be older than a departure which its
- * earlier boot acknowledged. Free of I/O.
+ * earlier boot acknowledged. Does no I/O.
  */
 class target_registry
 {
