--- a/include/tillerhall/quota/quota_message.hpp
+++ b/include/tillerhall/quota/quota_message.hpp
@@ -18,8 +18,8 @@
 {
     std::string account;
     std::int64_t asked = 0; ///< calls that carried one of its keys
-    /** Calls that were admitted; negative if more of the calls counted earlier
-     * did not run. */
+    /** Calls that were admitted, less those given back since they reached no
+     * target; negative if more were given back than admitted. */
     std::int64_t admitted = 0;
     std::optional<double> level; ///< of its bucket; between ledgers only
 };
--- a/include/tillerhall/rollout/release_baseline.hpp
+++ b/include/tillerhall/rollout/release_baseline.hpp
@@ -25,7 +25,7 @@
  * the lowest load. Otherwise slow targets, or a surge that slows the stable
  * targets but not the few canary targets, would raise the thresholds until no
  * canary run counts as slow. The shares beyond a threshold are those of recent
- * runs, so that a slowdown of all targets is not held against the canary.
+ * runs, so that a slowdown of all targets is not counted against the canary.
  */
 class release_baseline
 {
--- a/include/tillerhall/rollout/run_counts.hpp
+++ b/include/tillerhall/rollout/run_counts.hpp
@@ -19,7 +19,7 @@
      * call's time. */
     static constexpr std::size_t buckets = 24;
 
-    std::uint32_t ended = 0;  ///< runs whose result is the target's doing
+    std::uint32_t ended = 0;  ///< runs whose result is due to the target
     std::uint32_t failed = 0; ///< of these, by the target's fault
     /** Runs by latency bucket; without those while the target was cold. */
     std::array<std::uint32_t, buckets> took{};
--- a/src/quota/quota_gate.cpp
+++ b/src/quota/quota_gate.cpp
@@ -78,8 +78,8 @@
 
 std::optional<std::vector<quota_counts>> quota_gate::take_due_counts()
 {
-    // While limits are set, messages go on so that the entry receives their
-    // end.
+    // While limits are set, messages are due even without counts: their answers
+    // show when the limits are lifted.
     if (m_counts.empty() && m_limits.empty() &&
         ++m_idle_calls < idle_report_period)
         return std::nullopt;
--- a/src/rollout/rollout_judge.cpp
+++ b/src/rollout/rollout_judge.cpp
@@ -13,7 +13,8 @@
 constexpr std::chrono::seconds recent_run_window(3);
 // Longer than the last stage takes to reach all nodes, plus calls in transit.
 constexpr milliseconds idle_after(700);
-// Owners report twice a second; without a report one is gone or unreachable.
+// Owners report twice a second; one without a report for longer is gone or
+// unreachable.
 constexpr milliseconds report_timeout(2'000);
 // Classes of work with less than one in this many runs are not required.
 constexpr std::uint32_t min_class_divisor = 20;
@@ -24,9 +25,10 @@
 // runs is tested after the timeout.
 constexpr std::uint32_t min_baseline_runs = 60;
 constexpr milliseconds baseline_timeout(2'000);
-// Scores of the targets for which a release is rolled back, of each one and on
-// average, as log-likelihood ratios. Beside one regressed target, with a score
-// of 8, two others need a sum of 13, which chance reaches with e^-13.
+// Lowest scores of the targets for which a release is rolled back, as
+// log-likelihood ratios: of each target, and on average. Of three targets with
+// one regressed, whose score is 8, the other two need a sum of 13, which has a
+// probability of e^-13 by chance.
 constexpr double min_score = 3;
 constexpr double min_mean_score = 7;
 
@@ -89,7 +91,7 @@
     known.last = report;
     if (!new_runs.empty())
         known.ran_at = now;
-    // The first report may hold old runs.
+    // The first report may include old runs.
     if (report.release == m_stable && !is_first)
         add_baseline_runs(report.target_id, new_runs, now);
     if (report.release != m_canary)
--- a/src/rollout/rollout_plan.cpp
+++ b/src/rollout/rollout_plan.cpp
@@ -62,8 +62,8 @@
     const auto& settings = settings_of(stage);
     const double share = settings.share > 0 ? settings.share : exposure * half;
     const double load = share * static_cast<double>(stable_targets);
-    // Rounded down in the first stages, where each canary target gets no less
-    // than a stable one.
+    // Rounded down in the first stages, so that each canary target gets no less
+    // load than a stable one.
     const double wanted =
         stage <= rollout_stage::loaded ? std::floor(load) : std::ceil(load);
     const auto targets = std::max<std::size_t>(
