--- a/include/tillerhall/routing/call_route.hpp
+++ b/include/tillerhall/routing/call_route.hpp
@@ -39,7 +39,7 @@
     std::uint32_t weight = 1; ///< relative to the other shares of the route
 };
 
-/** Where calls to one host and path prefix go, and on what terms. */
+/** Where calls to one host and path prefix go, and with which limits. */
 struct call_route
 {
     std::string name;
--- a/include/tillerhall/routing/client_accounts.hpp
+++ b/include/tillerhall/routing/client_accounts.hpp
@@ -25,7 +25,7 @@
     bool operator==(const account_quota&) const = default;
 };
 
-/** An account. Its keys are held by `client_accounts` only. */
+/** An account. Its keys are stored in `client_accounts` only. */
 struct client_account
 {
     std::string name;
--- a/include/tillerhall/routing/deadline_budgets.hpp
+++ b/include/tillerhall/routing/deadline_budgets.hpp
@@ -15,13 +15,13 @@
 /**
  * Clients that retry a refused call send it with the remaining time of their
  * deadline. The longest recent remaining time of a class of work is taken as
- * the clients' deadline budget; the time that a call lacks has passed since its
- * first attempt. Does no I/O.
+ * the clients' deadline budget; the difference between it and the remaining
+ * time of a call is the time since the call's first attempt. Does no I/O.
  */
 class deadline_budgets
 {
 public:
-    /** Long enough to include calls of a quiet route. */
+    /** Long enough to include calls of a rarely used route. */
     static constexpr duration span = std::chrono::seconds(10);
 
     /**
--- a/include/tillerhall/routing/failure_shedder.hpp
+++ b/include/tillerhall/routing/failure_shedder.hpp
@@ -18,10 +18,10 @@
  * capacity at the services they call.
  *
  * The share grows with the failures beyond those expected by chance. Only
- * failures that are due to a lack of capacity count: where calls fail for other
- * reasons, fewer runs would fail no less often. The share follows the last one
- * to two seconds, however few runs there are, so that shedding stops soon after
- * the cause is gone. Does no I/O.
+ * failures that are due to a lack of capacity count: shedding would not lower
+ * the share of failed runs where calls fail for other reasons. The share
+ * follows the last one to two seconds, however few runs there are, so that
+ * shedding stops soon after the cause is gone. Does no I/O.
  */
 class failure_shedder
 {
--- a/include/tillerhall/routing/fleet_retry_budget.hpp
+++ b/include/tillerhall/routing/fleet_retry_budget.hpp
@@ -31,8 +31,8 @@
 public:
     /**
      * Share of the limit that is spent. The rest covers what a node cannot see:
-     * members it does not know yet, and repeats that its calls cause at
-     * services further down.
+     * members it does not know yet, and retries that its calls cause at
+     * downstream services.
      */
     static constexpr double spent_part = 0.5;
 
--- a/include/tillerhall/routing/load_inquiry.hpp
+++ b/include/tillerhall/routing/load_inquiry.hpp
@@ -67,8 +67,8 @@
      * @param preferred index of the owner that the entry would choose without
      * queries. It is among those asked, since random owners alone would often
      * be slow ones.
-     * @return the indexes in @p owners of those to ask; none if enough is known
-     * or the rate of queries is used up.
+     * @return the indexes in @p owners of those to ask; none if enough owners
+     * are known to have free slots or the rate limit of queries is reached.
      */
     std::vector<std::size_t>
     owners_to_ask(std::span<const owner_estimate> owners,
--- a/include/tillerhall/routing/poison_calls.hpp
+++ b/include/tillerhall/routing/poison_calls.hpp
@@ -64,10 +64,10 @@
  * with all calls that ran there, so a few such attempts a second can take down
  * a whole service.
  *
- * One crash proves nothing, since any call that ran there may be the cause; two
- * under the same call are rarely a coincidence. A call is therefore quarantined
- * from its second crash on, and longer after each further round of crashes,
- * since each probe may cost a target.
+ * One crash does not identify the call, since any call that ran there may be
+ * the cause; two under the same call are rarely a coincidence. A call is
+ * therefore quarantined from its second crash on, and longer after each further
+ * round of crashes, since each probe may cost a target.
  *
  * Used by owners, which are the only way to their targets, and by entries,
  * which then refuse at once. Does no I/O.
--- a/include/tillerhall/routing/refusal_cache.hpp
+++ b/include/tillerhall/routing/refusal_cache.hpp
@@ -46,7 +46,8 @@
      * soon used.
      */
     static constexpr milliseconds longest_pause{250};
-    /** For this long after a pause the owner is asked once a pause only. */
+    /** For this long after a pause the owner gets only one call of the work in
+     * each pause. */
     static constexpr milliseconds retention{1'000};
     /**
      * A pause ends at a random time after this share of it, so that entries
--- a/include/tillerhall/routing/route_view.hpp
+++ b/include/tillerhall/routing/route_view.hpp
@@ -26,8 +26,8 @@
 
 /**
  * An immutable join of one table version with one member list. A route names no
- * target that is not in that list, so a node never uses a table with the
- * members of another time.
+ * target that is not in that list, so a node never combines a table with an
+ * older or newer member list.
  */
 class route_view : public boost::intrusive_ref_counter<route_view>
 {
--- a/include/tillerhall/routing/run_estimates.hpp
+++ b/include/tillerhall/routing/run_estimates.hpp
@@ -32,9 +32,9 @@
 
     /**
      * Before any run has ended, a run is taken to need its objective divided by
-     * this number, which leaves time for a wait and a retry. Taken for zero, a
-     * target that has just started would admit every call until its first run
-     * ends.
+     * this number, which leaves time for a wait and a retry. With an expected
+     * time of zero, a target that has just started would admit every call until
+     * its first run ends.
      */
     static constexpr int unknown_run_divisor = 4;
 
--- a/include/tillerhall/routing/share_sequence.hpp
+++ b/include/tillerhall/routing/share_sequence.hpp
@@ -21,7 +21,7 @@
 public:
     /**
      * @param start in [0, 1); must differ between nodes, so that they do not
-     * step together
+     * choose the same service at the same time
      */
     explicit share_sequence(double start)
         : m_start(start)
--- a/include/tillerhall/routing/target_board.hpp
+++ b/include/tillerhall/routing/target_board.hpp
@@ -168,8 +168,8 @@
         std::uint32_t in_flight = 0;
         double load = 0;
         /**
-         * By class of work: by a mean over all calls a target that gets the
-         * short ones would seem fast and attract the long ones, too.
+         * By class of work: with one mean over all calls, a target that gets
+         * the short ones would seem fast and attract the long ones, too.
          */
         std::map<work_class, double> run_ms;
         double slots = 0;
--- a/src/routing/poison_calls.cpp
+++ b/src/routing/poison_calls.cpp
@@ -8,9 +8,9 @@
 namespace
 {
 
-// Clocks of hosts may differ by this much, so a run that was reported to be
-// before a crash may have come after it. A call that crashes each target never
-// succeeds.
+// Clocks of hosts may differ by this much, so a successful run also clears a
+// call of crashes that seem this much later. This never clears a call that
+// crashes each target, since it has no successful runs.
 constexpr std::uint64_t clock_slack_ms = 5'000;
 
 // Crashes further apart than this belong to different rounds.
@@ -28,7 +28,7 @@
 
 milliseconds quarantine_after(std::size_t rounds)
 {
-    // Enough to reach the longest quarantine, and no overflow of the shift.
+    // Enough to reach the longest quarantine without overflow of the shift.
     constexpr std::size_t most_doublings = 10;
     const auto doublings = std::min(rounds - 1, most_doublings);
     return std::min<milliseconds>(poison_calls::first_quarantine *
--- a/src/routing/service_targets.cpp
+++ b/src/routing/service_targets.cpp
@@ -108,7 +108,7 @@
         parts[status_of(each)].push_back(each);
     auto& stable = parts[release_status::stable];
     auto& ordered = parts[release_status::canary];
-    // In the last step the old release gets no more calls, unless no other
+    // In the last stage the old release gets no more calls, unless no other
     // target can take them.
     const bool moves = has_all_calls(rollouts, service) &&
                        (!ordered.empty() || stable.empty());
@@ -145,7 +145,8 @@
         return;
     std::erase_if(canaries, [&](const member_ptr& each)
                   { return is_regressed(rollouts, service, *each); });
-    // The same targets at every entry, so that few targets get the whole share.
+    // Every entry selects the same targets, so that the whole share goes to
+    // few.
     std::ranges::sort(canaries, {},
                       [](const member_ptr& each)
                       { return stable_hash(each->target_id); });
--- a/tests/unit/client_accounts.cpp
+++ b/tests/unit/client_accounts.cpp
@@ -122,7 +122,7 @@
         {"/closed/x", {"Bearer k1", "Bearer k1"}, {}, status::unauthenticated},
         {"/closed/x", {std::string(16'000, 'x')}, {}, status::unauthenticated},
         {"/closed/x", {}, {true, true}, status::target},
-        // Only a run that is known at this node is proof.
+        // Only a run that is known at this node verifies the caller.
         {"/closed/x", {}, {false, true}, status::unverified},
         {"/closed/x", {"Bearer k9"}, {true, true}, status::unauthenticated}};
     for (const auto& each : table)
