--- a/include/tillerhall/targets/target_registry.hpp
+++ b/include/tillerhall/targets/target_registry.hpp
@@ -1,4 +1,4 @@
-/** @file Which target is next to this node and whether it takes work. */
+/** @file Which target belongs to this node and whether it takes work. */
 #pragma once
 
 #include "tillerhall/targets/target_report.hpp"
@@ -27,13 +27,13 @@
 /**
  * The targets that have reported to this boot of the node.
  *
- * A start of a target that has left never returns; a later start under the
- * same id is a new target. The reports of a start are ordered by their
- * sequence, so a late report never revives anything; of two starts under one id
- * the later one is in use. Among different ids the one whose first report came
- * last is in use; an older one takes over again only with a sequence that it
- * has not used. No target is in use before `departures_known`: after a restart
- * the node must not trust a report that may be older than a departure which its
+ * A start of a target that has left never returns; a later start under the same
+ * id is a new target. The reports of a start are ordered by their sequence, so
+ * a late report has no effect; of two starts under one id the later one is in
+ * use. Among different ids the one whose first report came last is in use; an
+ * older one takes over again only with a report of a greater sequence. No
+ * target is in use before `set_departures_known` is called: after a restart the
+ * node must not trust a report that may be older than a departure which its
  * earlier boot acknowledged. Does no I/O.
  */
 class target_registry
@@ -78,7 +78,7 @@
     time_point cold_until() const noexcept { return m_cold_until; }
 
     /**
-     * Takes the target for cold until its next report, for @p span at most: it
+     * Treats the target as cold until its next report, for @p span at most: it
      * may have become cold while nothing was sent to it.
      */
     void assume_cold(duration span, time_point now) noexcept
--- a/src/targets/target_registry.cpp
+++ b/src/targets/target_registry.cpp
@@ -9,7 +9,8 @@
 {
 constexpr std::array<std::string_view, 5> verdict_names{
     "unchanged", "opened", "changed", "closed", "stale"};
-// Targets report every one or two seconds; a longer silence is no delay.
+// Targets report every one or two seconds; one without a report for longer
+// counts as gone.
 constexpr std::chrono::seconds silent_after(5);
 } // namespace
 
@@ -54,7 +55,7 @@
                                   time_point now) const
 {
     // A clock that was set back can make a later start seem the earlier one: it
-    // takes over once the other has been silent.
+    // takes over once the other has stopped reporting.
     return m_current && m_current->id == report.id &&
            report.born_ms < m_current->born_ms &&
            now < m_last_report_at + silent_after;
