--- a/include/tillerhall/targets/target_report.hpp
+++ b/include/tillerhall/targets/target_report.hpp
@@ -19,8 +19,8 @@
 };
 
 /**
- * Starts of a target usually have ids of their own; two starts with
- * the same id are distinguished by their start time.
+ * Starts of a target usually have ids of their own; two starts with the same id
+ * are distinguished by their start time.
  */
 struct target_report
 {
