--- a/include/tillerhall/routing/run_estimates.hpp
+++ b/include/tillerhall/routing/run_estimates.hpp
@@ -12,7 +12,7 @@
 
 /**
  * Decaying means of the run times at one target by class of work. Run times
- * differ much between classes, so one mean would be wrong for all. Free of I/O.
+ * differ much between classes, so one mean would be wrong for all. Does no I/O.
  */
 class run_estimates
 {
@@ -32,9 +32,9 @@
 
     /**
      * Before any run has ended, a run is taken to need its objective divided by
-     * this number, which leaves time for a wait and a retry. Taken for zero, a
-     * target that has just started would admit every call until its first run
-     * ends.
+     * this number, which leaves time for a wait and a retry. With an expected
+     * time of zero, a target that has just started would admit every call until
+     * its first run ends.
      */
     static constexpr int unknown_run_divisor = 4;
 
