--- a/apps/tillerd.cpp
+++ b/apps/tillerd.cpp
@@ -65,8 +65,8 @@
         const auto shown = std::visit(shown_default{defaults}, each.into);
         std::cout << "| `" << each.path << "` | "
                   << (each.required ? "required" : shown) << " | ";
-        if (each.most != 0)
-            std::cout << each.least << " to " << each.most;
+        if (each.max_value != 0)
+            std::cout << each.min_value << " to " << each.max_value;
         std::cout << " | " << each.help << " |\n";
     }
 }
--- a/benchmark/convergence.cpp
+++ b/benchmark/convergence.cpp
@@ -200,8 +200,8 @@
  * one interval. */
 std::string matching_poll(double convergence_ms)
 {
-    constexpr double least_ms = 20;
-    return std::to_string(static_cast<int>(std::max(least_ms, convergence_ms)));
+    constexpr double min_ms = 20;
+    return std::to_string(static_cast<int>(std::max(min_ms, convergence_ms)));
 }
 
 } // namespace
--- a/benchmark/requests.cpp
+++ b/benchmark/requests.cpp
@@ -162,7 +162,7 @@
         const auto added = [&](double share)
         { return through.latency(share) - direct_result.latency(share); };
         std::int64_t over = 0;
-        std::int64_t most = 0;
+        std::int64_t max_running = 0;
         for (std::size_t i = 0; i < target_count; ++i)
         {
             const auto counts =
@@ -170,8 +170,9 @@
             if (!counts)
                 continue;
             over += counts->at("over_slots").to_number<std::int64_t>();
-            most = std::max(
-                most, counts->at("most_running").to_number<std::int64_t>());
+            max_running =
+                std::max(max_running,
+                         counts->at("most_running").to_number<std::int64_t>());
         }
         return {
             {"name", m_policy},
@@ -195,7 +196,7 @@
             {"doubled", totals.doubled},
             {"wrong", totals.wrong},
             {"not_run_that_ran", totals.not_run_that_ran},
-            {"most_running", most},
+            {"most_running", max_running},
             {"limit_exceeded", over}};
     }
 
--- a/include/tillerhall/core/recent_window.hpp
+++ b/include/tillerhall/core/recent_window.hpp
@@ -21,10 +21,10 @@
     }
 
     /** @return the counts of the current span, to be added to. */
-    Counts& newest(time_point now)
+    Counts& current(time_point now)
     {
         rotate(now);
-        return m_newest;
+        return m_current;
     }
 
     /** @return the counts of the span that precedes the current one. */
@@ -39,13 +39,13 @@
     {
         if (now < m_begin + m_span)
             return;
-        m_previous = now < m_begin + 2 * m_span ? m_newest : Counts{};
-        m_newest = {};
+        m_previous = now < m_begin + 2 * m_span ? m_current : Counts{};
+        m_current = {};
         m_begin = now;
     }
 
     duration m_span;
-    Counts m_newest{};
+    Counts m_current{};
     Counts m_previous{};
     time_point m_begin{};
 };
--- a/include/tillerhall/distribution/circuit_breaker.hpp
+++ b/include/tillerhall/distribution/circuit_breaker.hpp
@@ -10,8 +10,8 @@
 struct breaker_limits
 {
     unsigned failures_to_open = 3; ///< in a row
-    duration least_open = std::chrono::seconds(1);
-    duration most_open = std::chrono::seconds(15);
+    duration min_open = std::chrono::seconds(1);
+    duration max_open = std::chrono::seconds(15);
 };
 
 /** Opens after consecutive failures; open times grow, with jitter. Pure. */
@@ -20,7 +20,7 @@
 public:
     explicit circuit_breaker(breaker_limits limits = {}) noexcept
         : m_limits(limits)
-        , m_waits(limits.least_open, limits.most_open)
+        , m_waits(limits.min_open, limits.max_open)
     {
     }
 
--- a/include/tillerhall/distribution/key_range.hpp
+++ b/include/tillerhall/distribution/key_range.hpp
@@ -14,12 +14,12 @@
 /** A range of keys, both ends included. */
 struct key_range
 {
-    std::uint64_t least = 0;
-    std::uint64_t most = UINT64_MAX;
+    std::uint64_t min_key = 0;
+    std::uint64_t max_key = UINT64_MAX;
 
     bool contains(std::uint64_t key) const noexcept
     {
-        return least <= key && key <= most;
+        return min_key <= key && key <= max_key;
     }
     bool operator==(const key_range&) const = default;
 };
--- a/include/tillerhall/distribution/update_log.hpp
+++ b/include/tillerhall/distribution/update_log.hpp
@@ -14,7 +14,7 @@
 class update_log
 {
 public:
-    static constexpr std::size_t most_kept = 256;
+    static constexpr std::size_t max_kept = 256;
 
     /** Appends a delta; a gap in the versions discards the earlier ones. */
     void add(const table_update& update);
--- a/include/tillerhall/distribution/version_gate.hpp
+++ b/include/tillerhall/distribution/version_gate.hpp
@@ -16,10 +16,10 @@
 {
     applied,        ///< it is now the current version
     old,            ///< not newer than the current version; dropped
-    missing_parent, ///< held until the preceding versions arrive
-    waiting_names,  ///< held until its names are known
+    missing_parent, ///< waits until the preceding versions arrive
+    waiting_names,  ///< waits until its names are known
     corrupt,        ///< does not match its digest; dropped
-    too_far         ///< no room to hold it; to be pulled later
+    too_far         ///< no room to keep it waiting; to be pulled later
 };
 
 std::string_view name_of(gate_decision decision) noexcept;
@@ -33,7 +33,7 @@
 class version_gate
 {
 public:
-    static constexpr std::size_t most_held = 32;
+    static constexpr std::size_t max_waiting = 32;
 
     /** Returns true if every service and place of a table is known. */
     using names_known = std::function<bool(const config_table&)>;
@@ -44,12 +44,12 @@
 
     explicit version_gate(names_known known, on_applied applied = {});
 
-    /** Processes an update, and held ones that it makes applicable. */
+    /** Processes an update, and waiting ones that it makes applicable. */
     gate_decision offer(const table_update& update);
 
-    /** Retries held updates, after members became known.
+    /** Retries waiting updates, after members became known.
      * @return true if any was applied */
-    bool retry_held();
+    bool retry_waiting();
 
     /** Returns the current view, of version 0 at first; never null. */
     const table_view_ptr& current() const noexcept { return m_current; }
@@ -60,18 +60,18 @@
     /** Notes that @p version exists. */
     void note_version(std::uint64_t version) noexcept;
 
-    std::size_t held() const noexcept { return m_held.size(); }
+    std::size_t waiting() const noexcept { return m_waiting.size(); }
 
 private:
     gate_decision decide(const table_update& update);
     gate_decision take(const table_update& update, config_table table);
-    void hold(const table_update& update);
-    void drop_held_up_to(std::uint64_t version);
+    void add_waiting(const table_update& update);
+    void drop_waiting_up_to(std::uint64_t version);
 
     names_known m_known;
     on_applied m_applied;
     table_view_ptr m_current;
-    std::map<std::uint64_t, table_update> m_held;
+    std::map<std::uint64_t, table_update> m_waiting;
     std::uint64_t m_greatest_seen = 0;
 };
 
--- a/include/tillerhall/http/fields.hpp
+++ b/include/tillerhall/http/fields.hpp
@@ -54,6 +54,6 @@
 std::string host_service(const request_head& head);
 
 /** @return true if @p method is idempotent (RFC 9110, 9.2.2). */
-bool is_repeatable_method(boost::beast::http::verb method) noexcept;
+bool is_idempotent_method(boost::beast::http::verb method) noexcept;
 
 } // namespace tillerhall
--- a/include/tillerhall/http/inbound_call.hpp
+++ b/include/tillerhall/http/inbound_call.hpp
@@ -44,7 +44,7 @@
     bool read_prefix();
 
     /** @return whether the whole body is in `prefix()`. */
-    bool is_whole() const { return m_parser.is_done(); }
+    bool has_whole_body() const { return m_parser.is_done(); }
 
     /** Reads the next piece after the prefix.
      * @return its size, 0 at the end of the body. */
--- a/include/tillerhall/http/relay.hpp
+++ b/include/tillerhall/http/relay.hpp
@@ -21,7 +21,7 @@
 };
 
 /** A complete answer, stored for repeats of the call. */
-struct kept_answer
+struct stored_answer
 {
     unsigned status = 0;
     std::string content_type;
@@ -32,13 +32,13 @@
 struct relay_result
 {
     relay_end end = relay_end::unknown;
-    unsigned status = 0;             ///< of the answer
-    std::string detail;              ///< why, when not answered
-    std::string retry_after;         ///< Retry-After of a refusal, in seconds
-    std::optional<double> load;      ///< reported by the owner
-    bool reusable = false;           ///< the upstream connection may be reused
-    bool started = false;            ///< at least one byte was sent upstream
-    std::optional<kept_answer> kept; ///< if requested and short enough
+    unsigned status = 0;        ///< of the answer
+    std::string detail;         ///< why, when not answered
+    std::string retry_after;    ///< Retry-After of a refusal, in seconds
+    std::optional<double> load; ///< reported by the owner
+    bool reusable = false;      ///< the upstream connection may be reused
+    bool started = false;       ///< at least one byte was sent upstream
+    std::optional<stored_answer> kept; ///< if requested and short enough
 };
 
 /** What the upstream is; decides which of its refusals are trusted. */
@@ -57,7 +57,7 @@
     std::string not_run_header; ///< set by a target on calls it did not run
     std::string request_id;     ///< set in the answer
     std::optional<double> load; ///< set in the answer, for an entry node
-    bool keep_answer = false;   ///< copy a short complete answer
+    bool store_answer = false;  ///< copy a short complete answer
 };
 
 /**
--- a/include/tillerhall/membership/member.hpp
+++ b/include/tillerhall/membership/member.hpp
@@ -59,7 +59,7 @@
     std::string target_id; ///< of its current start; empty if not reported
     std::string release;   ///< of the target's software; empty if not reported
     /** Ids of earlier starts of the target that have departed, newest last. */
-    std::vector<std::string> left_targets;
+    std::vector<std::string> departed_targets;
     std::uint32_t link_mbps = 0; ///< of the host's link; 0 if unknown
     /** Crashes of the target while calls ran there, newest last. */
     std::vector<target_crash> target_crashes;
@@ -84,7 +84,7 @@
  * newest 8.
  * @return true if any was new.
  */
-bool add_left_targets(member& to, const std::vector<std::string>& left);
+bool add_departed_targets(member& to, const std::vector<std::string>& left);
 
 /**
  * Adds crashes to @p to, also those seen by earlier boots of the node. Keeps
--- a/include/tillerhall/node/blackboard.hpp
+++ b/include/tillerhall/node/blackboard.hpp
@@ -28,7 +28,7 @@
     ready,
     resuming, ///< after a pause, until its state is up to date again
     leaving,  ///< stop requested; new calls are still served
-    ending    ///< running calls are finished; new calls are refused
+    finishing ///< running calls are finished; new calls are refused
 };
 
 std::string_view name_of(node_phase phase) noexcept;
--- a/include/tillerhall/node/call_admission.hpp
+++ b/include/tillerhall/node/call_admission.hpp
@@ -18,9 +18,9 @@
     time_point deadline{};
     std::uint32_t rank = 0; ///< priority; 0 is the highest
     time_point due{};       ///< end of the call's latency objective
-    duration most_wait = duration::max(); ///< longest acceptable queueing time
-    duration run{};                       ///< expected run time; 0: the mean
-    cancel_scope* scope = nullptr;        ///< cancels the wait; may be null
+    duration max_wait = duration::max(); ///< longest acceptable queueing time
+    duration run{};                      ///< expected run time; 0: the mean
+    cancel_scope* scope = nullptr;       ///< cancels the wait; may be null
 };
 
 /** Makes an `admission` safe to use from all workers. Lock order: leaf; wake
@@ -38,8 +38,8 @@
      * @param io context of the calling fiber's worker
      * @return `run`, or the reason to refuse the call as not run
      */
-    admission_verdict acquire(boost::asio::io_context& io,
-                              const admission_request& request);
+    admission_decision acquire(boost::asio::io_context& io,
+                               const admission_request& request);
 
     /** Releases the slot after a run that took @p took. */
     void release(duration took);
--- a/include/tillerhall/node/call_context.hpp
+++ b/include/tillerhall/node/call_context.hpp
@@ -64,7 +64,7 @@
  * key. */
 void send_replay(inbound_call& call,
                  const std::string& request_id,
-                 const kept_answer& answer);
+                 const stored_answer& answer);
 
 /**
  * Answers @p call with problem details (RFC 9457).
--- a/include/tillerhall/node/call_log.hpp
+++ b/include/tillerhall/node/call_log.hpp
@@ -17,7 +17,7 @@
 {
     std::string node; ///< control address of the owner
     std::string place;
-    std::string end;    ///< outcome
+    std::string outcome;
     std::string detail; ///< reason, unless answered
     double took_ms = 0;
 };
--- a/include/tillerhall/node/claim_controller.hpp
+++ b/include/tillerhall/node/claim_controller.hpp
@@ -19,7 +19,7 @@
 {
 
 /** Outcome of a claim on an idempotency key. */
-enum class claim_verdict
+enum class claim_outcome
 {
     granted,    ///< run the call, then report its result by `finish`
     other_body, ///< the key was used with another body
@@ -29,13 +29,13 @@
     store_down ///< the store is unavailable; nothing was claimed
 };
 
-std::string_view name_of(claim_verdict verdict) noexcept;
+std::string_view name_of(claim_outcome outcome) noexcept;
 
 /** Outcome of a claim, with the cached answer of an earlier run if any. */
 struct claim_answer
 {
-    claim_verdict verdict = claim_verdict::store_down;
-    std::optional<kept_answer> answer;
+    claim_outcome outcome = claim_outcome::store_down;
+    std::optional<stored_answer> answer;
 };
 
 /**
@@ -66,7 +66,7 @@
     /** Records how the claimed call ended. */
     void finish(const std::string& key,
                 claim_state state,
-                const std::optional<kept_answer>& answer);
+                const std::optional<stored_answer>& answer);
 
 private:
     struct pending_claim;
@@ -81,7 +81,7 @@
     claim_answer claim_locally(const std::string& key, const std::string& body);
     void finish_locally(const std::string& key,
                         claim_state state,
-                        const std::optional<kept_answer>& answer);
+                        const std::optional<stored_answer>& answer);
     boost::json::object on_claim(const boost::json::object& params);
     boost::json::object on_finish(const boost::json::object& params);
     address coordinator_of(std::size_t shard) const;
@@ -98,7 +98,7 @@
     check_existing(const claim_shard& shard,
                    const pending_claim& pending) const;
     void resolve(pending_claim& pending, claim_answer answer);
-    void cache_answer(const std::string& key, const kept_answer& answer);
+    void cache_answer(const std::string& key, const stored_answer& answer);
 
     mesh_state& m_mesh;
     table_service& m_store;
@@ -109,7 +109,7 @@
         m_finished; ///< results not yet stored
     std::set<std::uint64_t>
         m_abandoned; ///< nonces of claims whose calls were refused
-    std::map<std::string, kept_answer> m_cached_answers;
+    std::map<std::string, stored_answer> m_cached_answers;
     std::list<std::string> m_cached_order; ///< oldest first
     std::size_t m_cached_bytes = 0;
 };
--- a/include/tillerhall/node/journal.hpp
+++ b/include/tillerhall/node/journal.hpp
@@ -26,7 +26,7 @@
 class journal
 {
 public:
-    static constexpr std::size_t most_kept = 512;
+    static constexpr std::size_t max_kept = 512;
 
     /** Adds an entry with the current time and logs it. */
     void note(std::string decision,
--- a/include/tillerhall/node/messages.hpp
+++ b/include/tillerhall/node/messages.hpp
@@ -64,7 +64,7 @@
     std::set<std::string> places;
     std::uint64_t version = 0;
     /** Greatest version that a node at the joiner's address has reported. */
-    std::uint64_t floor = 0;
+    std::uint64_t last_reported_version = 0;
     std::int64_t source_age_ms = -1;
 };
 
--- a/include/tillerhall/node/settings.hpp
+++ b/include/tillerhall/node/settings.hpp
@@ -93,8 +93,8 @@
     std::string_view path; ///< "section.key"
     field into;
     bool required;
-    std::int64_t least; ///< smallest valid number
-    std::int64_t most;  ///< greatest valid number
+    std::int64_t min_value; ///< smallest valid number
+    std::int64_t max_value; ///< greatest valid number
     std::string_view help;
 };
 
--- a/include/tillerhall/observe/latency_histogram.hpp
+++ b/include/tillerhall/observe/latency_histogram.hpp
@@ -32,9 +32,9 @@
     std::uint64_t count() const;
 
     /** @return the counts of the non-empty buckets, by index. */
-    std::map<int, std::uint64_t> sparse() const;
+    std::map<int, std::uint64_t> bucket_counts() const;
 
-    /** Adds counts from `sparse`, also of another node. */
+    /** Adds counts from `bucket_counts`, also of another node. */
     void add(const std::map<int, std::uint64_t>& counts);
 
     /** Appends the histogram @p name in Prometheus text format to @p into. */
--- a/include/tillerhall/rollout/rollout_plan.hpp
+++ b/include/tillerhall/rollout/rollout_plan.hpp
@@ -37,7 +37,7 @@
     stage_evidence evidence;
     bool stable_is_idle = false;
     std::size_t stable_targets = 0; ///< live ones
-    std::size_t canary_targets = 0; ///< live canary targets
+    std::size_t live_canary_targets = 0;
 };
 
 /** What a running roll-out does next. */
--- a/include/tillerhall/rollout/stored_rollout_state.hpp
+++ b/include/tillerhall/rollout/stored_rollout_state.hpp
@@ -17,7 +17,7 @@
     std::string release;
     rollout_state state = rollout_state::running;
     /** Wall clock when a node first saw the order; 0 if unknown. */
-    std::uint64_t begun_ms = 0;
+    std::uint64_t started_at_ms = 0;
     std::uint64_t revision = 0; ///< of the row
 };
 
--- a/include/tillerhall/routing/admission.hpp
+++ b/include/tillerhall/routing/admission.hpp
@@ -23,7 +23,7 @@
 };
 
 /** The decision on a call that arrives. */
-enum class admission_verdict
+enum class admission_decision
 {
     run,
     wait,
@@ -32,15 +32,15 @@
     deadline_too_near
 };
 
-std::string_view name_of(admission_verdict verdict) noexcept;
+std::string_view name_of(admission_decision decision) noexcept;
 
 /** The properties of a call that arrives which admission depends on. */
 struct arriving_call
 {
     time_point deadline{};
-    std::uint32_t rank = 0;               ///< urgency; 0 is the most urgent
-    time_point due = time_point::max();   ///< end of the call's objective
-    duration most_wait = duration::max(); ///< longest acceptable wait
+    std::uint32_t rank = 0;              ///< urgency; 0 is the most urgent
+    time_point due = time_point::max();  ///< end of the call's objective
+    duration max_wait = duration::max(); ///< longest acceptable wait
     duration run{}; ///< expected run time; zero: use the mean run time
 };
 
@@ -82,7 +82,7 @@
      * Decides on a call. If the result is `wait`, the caller must enqueue a
      * waiter for it.
      */
-    admission_verdict arrive(time_point now, const arriving_call& call);
+    admission_decision arrive(time_point now, const arriving_call& call);
 
     /** Adds a call that must wait to the queue. */
     void enqueue(admission_waiter& waiter);
--- a/include/tillerhall/routing/call_route.hpp
+++ b/include/tillerhall/routing/call_route.hpp
@@ -47,9 +47,9 @@
     std::string path_prefix;           ///< begins and ends with a slash
     std::vector<service_share> shares; ///< at least one
     call_kind kind = call_kind::once;
-    milliseconds timeout{0};        ///< longest time until the call is answered
-    milliseconds objective{0};      ///< an answer within this time is in time
-    std::uint32_t most_targets = 1; ///< most targets that one call is sent to
+    milliseconds timeout{0};       ///< longest time until the call is answered
+    milliseconds objective{0};     ///< an answer within this time is in time
+    std::uint32_t max_targets = 1; ///< most targets that one call is sent to
     std::uint32_t rank = 0; ///< urgency of its calls; 0 is the most urgent
     bool is_open = false;   ///< takes calls without a client key
 };
--- a/include/tillerhall/routing/cold_rate_limiter.hpp
+++ b/include/tillerhall/routing/cold_rate_limiter.hpp
@@ -45,7 +45,7 @@
     duration wait(double per_s, time_point now);
 
 private:
-    static std::size_t most_of(double per_s) noexcept;
+    static std::size_t calls_per_window(double per_s) noexcept;
     void forget_old(time_point now);
 
     time_point m_started;
--- a/include/tillerhall/routing/deadline_budgets.hpp
+++ b/include/tillerhall/routing/deadline_budgets.hpp
@@ -31,9 +31,9 @@
     duration elapsed(const work_class& work, duration remaining, time_point now)
     {
         auto& seen = m_seen.try_emplace(work).first->second;
-        auto& newest = seen.newest(now).longest;
-        newest = std::max(newest, remaining);
-        return std::max(newest, seen.previous(now).longest) - remaining;
+        auto& current = seen.current(now).longest;
+        current = std::max(current, remaining);
+        return std::max(current, seen.previous(now).longest) - remaining;
     }
 
 private:
--- a/include/tillerhall/routing/failure_shedder.hpp
+++ b/include/tillerhall/routing/failure_shedder.hpp
@@ -29,16 +29,16 @@
     /** Share of failed runs that is taken to be chance. */
     static constexpr double chance_share = 0.15;
     /** Upper limit of the shed share; beyond it the load is not the cause. */
-    static constexpr double most_shed = 0.5;
+    static constexpr double max_shed = 0.5;
     /** The counts cover the current span and the one before it. */
     static constexpr duration span = std::chrono::seconds(1);
     /** With fewer runs the failures are divided by this number. */
-    static constexpr double least_runs = 10;
+    static constexpr double min_runs = 10;
 
     /** Counts a finished run. */
     void ran(bool failed, time_point now)
     {
-        auto& counted = m_counts.newest(now);
+        auto& counted = m_counts.current(now);
         counted.runs += 1;
         counted.failed += failed ? 1 : 0;
     }
@@ -46,7 +46,7 @@
     /** Counts a call of this host that got no answer. */
     void call_failed(bool is_capacity_lacking, time_point now)
     {
-        auto& counted = m_counts.newest(now);
+        auto& counted = m_counts.current(now);
         counted.calls_failed += 1;
         counted.lacked_capacity += is_capacity_lacking ? 1 : 0;
     }
@@ -55,15 +55,15 @@
     double share(time_point now)
     {
         const auto& previous = m_counts.previous(now);
-        const auto& newest = m_counts.newest(now);
-        const double runs = newest.runs + previous.runs;
-        const double failed = newest.failed + previous.failed;
-        const double failing = failed / std::max(least_runs, runs);
-        const double calls = newest.calls_failed + previous.calls_failed;
+        const auto& current = m_counts.current(now);
+        const double runs = current.runs + previous.runs;
+        const double failed = current.failed + previous.failed;
+        const double failing = failed / std::max(min_runs, runs);
+        const double calls = current.calls_failed + previous.calls_failed;
         const double lacking =
-            newest.lacked_capacity + previous.lacked_capacity;
+            current.lacked_capacity + previous.lacked_capacity;
         const double by_load = lacking / std::max(1.0, calls);
-        return std::clamp((failing - chance_share) * by_load, 0.0, most_shed);
+        return std::clamp((failing - chance_share) * by_load, 0.0, max_shed);
     }
 
     /**
--- a/include/tillerhall/routing/link_schedule.hpp
+++ b/include/tillerhall/routing/link_schedule.hpp
@@ -43,7 +43,7 @@
      * bytes before it: enough to keep the link busy between two bodies, and
      * short beside the objectives of the short messages behind them.
      */
-    static constexpr milliseconds most_ahead{40};
+    static constexpr milliseconds max_ahead{40};
 
     /**
      * Share of the link's rate for bodies. The rest is for frames,
@@ -75,7 +75,7 @@
     bool any_waits() const noexcept { return !m_waiters.empty(); }
 
     /** @return when the next large body may be sent. */
-    time_point next_grant() const noexcept { return m_clear_at - most_ahead; }
+    time_point next_grant() const noexcept { return m_clear_at - max_ahead; }
 
     /**
      * @return how long the link needs for all bytes sent or queued at @p now.
--- a/include/tillerhall/routing/load_inquiry.hpp
+++ b/include/tillerhall/routing/load_inquiry.hpp
@@ -48,8 +48,8 @@
      * domain, where traffic costs nothing, and in other domains, for when calls
      * and targets are spread unevenly over the domains.
      */
-    static constexpr std::size_t most_near = 1;
-    static constexpr std::size_t most_far = 1;
+    static constexpr std::size_t max_near = 1;
+    static constexpr std::size_t max_far = 1;
     /**
      * If more than this share of the owners asked were full, only one call in
      * `seldom` asks, and only one owner, to notice when that ends.
@@ -60,8 +60,8 @@
      * Load queries a second of one node, so that they cost little processor
      * time on a small host.
      */
-    static constexpr double questions_per_s = 60;
-    static constexpr double question_burst = 30;
+    static constexpr double queries_per_s = 60;
+    static constexpr double query_burst = 30;
 
     /**
      * @param preferred index of the owner that the entry would choose without
@@ -83,7 +83,7 @@
     /** Weight of the newest answer in the decaying mean. */
     static constexpr double newest_share = 0.05;
 
-    token_bucket m_questions{questions_per_s, question_burst};
+    token_bucket m_queries{queries_per_s, query_burst};
     double m_full = 0; ///< decaying share of full owners among those asked
 };
 
--- a/include/tillerhall/routing/objectives_in_use.hpp
+++ b/include/tillerhall/routing/objectives_in_use.hpp
@@ -23,16 +23,16 @@
      */
     static constexpr double short_share = 0.45;
     /** An objective is in use if at least this share of the calls has it. */
-    static constexpr double least_share = 0.02;
+    static constexpr double min_share = 0.02;
     /** When this many calls are counted, all counts are halved. */
-    static constexpr double most_counted = 1000;
+    static constexpr double max_counted = 1000;
 
     /** Counts a call with @p objective. */
-    void saw(milliseconds objective)
+    void count_call(milliseconds objective)
     {
         m_calls[objective] += 1;
         m_total += 1;
-        if (m_total < most_counted)
+        if (m_total < max_counted)
             return;
         m_total /= 2;
         for (auto& each : m_calls)
@@ -44,7 +44,7 @@
     {
         milliseconds longest{0};
         for (const auto& [objective, calls] : m_calls)
-            if (calls >= least_share * m_total)
+            if (calls >= min_share * m_total)
                 longest = std::max(longest, objective);
         return longest;
     }
--- a/include/tillerhall/routing/refusal_cache.hpp
+++ b/include/tillerhall/routing/refusal_cache.hpp
@@ -53,7 +53,7 @@
      * A pause ends at a random time after this share of it, so that entries
      * that were refused together do not ask together.
      */
-    static constexpr double least_part = 0.5;
+    static constexpr double min_part = 0.5;
 
     /**
      * Records that @p owner has no free slot for @p work.
--- a/include/tillerhall/routing/retry_budget.hpp
+++ b/include/tillerhall/routing/retry_budget.hpp
@@ -15,7 +15,7 @@
 {
 public:
     /** Most tokens that are saved up while there is little traffic. */
-    static constexpr double most_saved = 10;
+    static constexpr double max_saved = 10;
 
     /**
      * Counts a call.
@@ -24,7 +24,7 @@
     void call(double percent) noexcept
     {
         constexpr double hundred = 100;
-        m_saved = std::min(most_saved, m_saved + percent / hundred);
+        m_saved = std::min(max_saved, m_saved + percent / hundred);
     }
 
     /**
@@ -40,7 +40,7 @@
     }
 
 private:
-    double m_saved = most_saved / 2;
+    double m_saved = max_saved / 2;
 };
 
 } // namespace tillerhall
--- a/include/tillerhall/routing/target_board.hpp
+++ b/include/tillerhall/routing/target_board.hpp
@@ -23,7 +23,7 @@
 {
 
 /** Result of a call to a target, as far as the choice is concerned. */
-enum class call_verdict
+enum class target_call_outcome
 {
     good,
     refused, ///< not run; the target is full but healthy
@@ -58,7 +58,7 @@
 /** A finished call to a target. */
 struct ended_call
 {
-    call_verdict verdict = call_verdict::unknown;
+    target_call_outcome outcome = target_call_outcome::unknown;
     duration took{};
     load_report report; ///< sent by the owner with its answer
     work_class work;
--- a/include/tillerhall/routing/transfer_slots.hpp
+++ b/include/tillerhall/routing/transfer_slots.hpp
@@ -34,7 +34,7 @@
      * this: enough to cover the round trip of the claim, and short beside the
      * objectives of short calls.
      */
-    static constexpr milliseconds most_ahead{25};
+    static constexpr milliseconds max_ahead{25};
 
     /**
      * @param mbps rate of the host's link; 0 if unknown: every claim is granted
@@ -52,8 +52,8 @@
     duration claim(std::uint64_t bytes, time_point now)
     {
         const auto ahead = m_link.backlog(now);
-        if (ahead > most_ahead)
-            return ahead - most_ahead;
+        if (ahead > max_ahead)
+            return ahead - max_ahead;
         m_link.sent(bytes, now);
         return duration::zero();
     }
--- a/include/tillerhall/table/column.hpp
+++ b/include/tillerhall/table/column.hpp
@@ -18,14 +18,14 @@
     yes_no
 };
 
-/** An editable column; `least` and `most` are inclusive. */
+/** An editable column; `min_value` and `max_value` are inclusive. */
 struct column
 {
     std::string_view name;
     cell_kind kind;
     std::int64_t row::*field;
-    std::int64_t least;
-    std::int64_t most;
+    std::int64_t min_value;
+    std::int64_t max_value;
     std::string_view unit;
     std::string_view help;
 };
--- a/include/tillerhall/targets/target_registry.hpp
+++ b/include/tillerhall/targets/target_registry.hpp
@@ -13,7 +13,7 @@
 {
 
 /** Effect of a report. */
-enum class report_verdict
+enum class report_result
 {
     unchanged, ///< nothing new
     opened,    ///< a target takes work that did not before
@@ -22,7 +22,7 @@
     stale      ///< an older report, or one of a target that has left
 };
 
-std::string_view name_of(report_verdict verdict) noexcept;
+std::string_view name_of(report_result result) noexcept;
 
 /**
  * The targets that have reported to this boot of the node.
@@ -43,9 +43,9 @@
      * Number of departure records kept. Reports older than that are no longer
      * in transit.
      */
-    static constexpr std::size_t most_departures = 8;
+    static constexpr std::size_t max_departures = 8;
 
-    report_verdict take(const target_report& report, time_point now);
+    report_result take(const target_report& report, time_point now);
 
     /**
      * Records the departure of @p start, from a report or a stored departure
@@ -61,7 +61,10 @@
     bool departures_known() const noexcept { return m_departures_known; }
 
     /** @return the starts that have left, the newest last. */
-    const std::vector<std::string>& departed() const noexcept { return m_left; }
+    const std::vector<std::string>& departed() const noexcept
+    {
+        return m_departed;
+    }
     bool has_departed(const std::string& start) const;
 
     /** @return the target that takes work, or null. */
@@ -87,12 +90,12 @@
     }
 
 private:
-    report_verdict take_leaving(const target_report& report);
+    report_result take_leaving(const target_report& report);
     /** @return true if a later start under the same id is in use. */
     bool is_outdated(const target_report& report, time_point now) const;
 
     std::map<std::string, std::uint64_t> m_sequences; ///< by start
-    std::vector<std::string> m_left;
+    std::vector<std::string> m_departed;
     std::optional<target_report> m_current;
     time_point
         m_last_report_at{}; ///< time of the last report of the target in use
--- a/include/tillerhall/targets/target_report.hpp
+++ b/include/tillerhall/targets/target_report.hpp
@@ -25,7 +25,7 @@
 struct target_report
 {
     std::string id;
-    std::uint64_t born_ms = 0; ///< wall clock of its start; 0 if not given
+    std::uint64_t started_ms = 0; ///< wall clock of its start; 0 if not given
     std::string service;
     address where;
     std::string domain;     ///< failure domain
@@ -38,7 +38,7 @@
     /** @return an id of this start of the target. */
     std::string start() const
     {
-        return born_ms == 0 ? id : id + '@' + std::to_string(born_ms);
+        return started_ms == 0 ? id : id + '@' + std::to_string(started_ms);
     }
 };
 
--- a/src/control/directory_controller.cpp
+++ b/src/control/directory_controller.cpp
@@ -12,8 +12,8 @@
 
 namespace json = boost::json;
 
-constexpr milliseconds least_wait(150);
-constexpr milliseconds most_wait(1'000);
+constexpr milliseconds min_wait(150);
+constexpr milliseconds max_wait(1'000);
 // A lost feed may be detected late, since nodes also exchange changes directly.
 constexpr milliseconds feed_wait(8'000);
 constexpr milliseconds reader_check_interval(1'000);
@@ -34,11 +34,12 @@
            row.link_mbps == self.link_mbps &&
            row.target_crashes == self.target_crashes &&
            row.good_runs == self.good_runs &&
-           std::ranges::all_of(self.left_targets,
-                               [&](const std::string& id) {
-                                   return std::ranges::find(row.left_targets,
-                                                            id) !=
-                                          row.left_targets.end();
+           std::ranges::all_of(self.departed_targets,
+                               [&](const std::string& id)
+                               {
+                                   return std::ranges::find(
+                                              row.departed_targets, id) !=
+                                          row.departed_targets.end();
                                });
 }
 
@@ -52,8 +53,8 @@
     , m_membership(membership)
     , m_store(store)
     , m_config(std::move(config))
-    , m_waits(least_wait, most_wait)
-    , m_write_waits(least_wait, most_wait)
+    , m_waits(min_wait, max_wait)
+    , m_write_waits(min_wait, max_wait)
     , m_pace(static_cast<double>(mesh.config.part_writes_per_s))
     , m_write_wait(mesh.on.io())
 {
@@ -87,7 +88,7 @@
 
 void directory_controller::load_loop()
 {
-    backoff waits(least_wait, most_wait);
+    backoff waits(min_wait, max_wait);
     while (!load_rows())
     {
         if (!m_loaded && ask_peers())
@@ -235,7 +236,7 @@
 void directory_controller::wait_before_write(duration span)
 {
     if (m_is_urgent)
-        span = std::min<duration>(span, least_wait);
+        span = std::min<duration>(span, min_wait);
     m_write_wait.expires_after(span);
     boost::system::error_code woken;
     m_write_wait.async_wait(await{woken});
@@ -296,7 +297,7 @@
 
 void directory_controller::reread_until_done()
 {
-    backoff waits(least_wait, most_wait);
+    backoff waits(min_wait, max_wait);
     while (!read_changes())
         sleep_for(m_mesh.on.io(), waits.next(m_mesh.random));
 }
--- a/src/control/quota_controller.cpp
+++ b/src/control/quota_controller.cpp
@@ -14,7 +14,7 @@
 
 namespace json = boost::json;
 
-constexpr milliseconds least_interval(250);
+constexpr milliseconds min_interval(250);
 // Interval per entry of the domain, so that a ledger on a slow host keeps up.
 constexpr milliseconds interval_per_entry(4);
 constexpr milliseconds call_timeout(300);
@@ -51,7 +51,7 @@
     const auto entries = std::ranges::count_if(
         m_mesh.members.ordered(), [&](const keyed_member& kept)
         { return kept.record->place == own && is_live(*kept.record); });
-    return std::max(least_interval, interval_per_entry * entries);
+    return std::max(min_interval, interval_per_entry * entries);
 }
 
 std::vector<address> quota_controller::ledgers() const
@@ -150,7 +150,7 @@
 {
     while (true)
     {
-        sleep_for(m_mesh.on.io(), least_interval);
+        sleep_for(m_mesh.on.io(), min_interval);
         if (!m_unsent_totals.empty())
             exchange();
     }
--- a/src/control/report_controller.cpp
+++ b/src/control/report_controller.cpp
@@ -39,7 +39,7 @@
 
 void report_controller::apply_departures()
 {
-    for (const auto& id : m_mesh.members.self().left_targets)
+    for (const auto& id : m_mesh.members.self().departed_targets)
         m_targets.record_departure(id);
 }
 
@@ -55,7 +55,7 @@
 {
     auto self = m_mesh.members.self();
     self.target_is = state_of(m_targets, m_owner.is_target_up());
-    self.left_targets = m_targets.departed();
+    self.departed_targets = m_targets.departed();
     if (const auto& end = m_owner.last_crash())
         add_target_crashes(self, {*end});
     add_good_runs(self, m_owner.good_runs());
@@ -70,7 +70,7 @@
         return;
     m_mesh.board.decisions.note("target_changed", self.target_id,
                                 std::string(name_of(self.target_is)),
-                                {{"left", self.left_targets.size()},
+                                {{"left", self.departed_targets.size()},
                                  {"ends", self.target_crashes.size()},
                                  {"good_runs", self.good_runs.size()}});
     m_membership.announce_self(self);
@@ -85,8 +85,8 @@
 bool report_controller::take(const target_report& report)
 {
     apply_departures(); // a peer may have sent those of earlier boots
-    const auto verdict = m_targets.take(report, steady_clock::now());
-    if (verdict == report_verdict::stale)
+    const auto result = m_targets.take(report, steady_clock::now());
+    if (result == report_result::stale)
     {
         m_mesh.board.call_lines.write(
             log_level::info, "report_refused",
--- a/src/control/rollout_api.cpp
+++ b/src/control/rollout_api.cpp
@@ -15,8 +15,8 @@
 constexpr const char* path = "/v1/rollouts";
 constexpr double ms_per_s = 1000;
 // Time limits of a roll-out; a comparison needs at least some seconds of calls.
-constexpr double least_s = 5;
-constexpr double most_s = 7 * 86'400;
+constexpr double min_s = 5;
+constexpr double max_s = 7 * 86'400;
 
 result<rollout_order> parse_order(const std::string& body)
 {
@@ -41,7 +41,7 @@
     const auto* time = members.if_contains("time_s");
     const double seconds =
         time == nullptr ? 0 : time->to_number<double>(failed);
-    if (failed || !(seconds >= least_s && seconds <= most_s))
+    if (failed || !(seconds >= min_s && seconds <= max_s))
         return bad;
     order.time = milliseconds(static_cast<std::int64_t>(seconds * ms_per_s));
     return order;
--- a/src/control/rollout_decider.cpp
+++ b/src/control/rollout_decider.cpp
@@ -187,7 +187,7 @@
         .evidence = current.judge.evidence(),
         .stable_is_idle = current.judge.is_idle(stable_owners, now),
         .stable_targets = stable_owners.size(),
-        .canary_targets = canary_owners.size()};
+        .live_canary_targets = canary_owners.size()};
     switch (next_move(record, progress, now))
     {
     case rollout_move::wait:
--- a/src/control/rollout_registry.cpp
+++ b/src/control/rollout_registry.cpp
@@ -163,17 +163,17 @@
             record.stable = known->second;
             continue;
         }
-        std::size_t most = 0;
+        std::size_t max_count = 0;
         const auto counts = count_releases(m_mesh.members);
         const auto of_service = counts.find(service);
         if (of_service == counts.end())
             continue;
         for (const auto& [release, count] : of_service->second)
-            if (count > most && release != record.order.release &&
+            if (count > max_count && release != record.order.release &&
                 !is_closed(record, release))
             {
                 record.stable = release;
-                most = count;
+                max_count = count;
             }
     }
 }
--- a/src/control/rollout_reporter.cpp
+++ b/src/control/rollout_reporter.cpp
@@ -21,7 +21,7 @@
 constexpr milliseconds report_timeout(400);
 // Limits the stable targets that report, so that the load on the deciding nodes
 // does not grow with the mesh.
-constexpr std::size_t most_reporting = 24;
+constexpr std::size_t max_reporting = 24;
 
 /** Returns true if this node's target is among those of its release that
  * report; the sample is chosen by hash. */
@@ -39,7 +39,7 @@
                                          each.release == self.release &&
                                          sample_key(each) < sample_key(self);
                               });
-    return static_cast<std::size_t>(preceding) < most_reporting;
+    return static_cast<std::size_t>(preceding) < max_reporting;
 }
 
 } // namespace
--- a/src/control/rollout_store_sync.cpp
+++ b/src/control/rollout_store_sync.cpp
@@ -151,10 +151,11 @@
                              read.release == known.order.release;
     next.state = std::max(known.state,
                           is_of_order ? read.state : rollout_state::running);
-    if (is_of_order && read.begun_ms > 0)
+    if (is_of_order && read.started_at_ms > 0)
     {
         const auto age = milliseconds(static_cast<std::int64_t>(
-            std::max(wall_clock_ms(), read.begun_ms) - read.begun_ms));
+            std::max(wall_clock_ms(), read.started_at_ms) -
+            read.started_at_ms));
         // Host clocks differ, so the age is limited to the order's time.
         next.begun = std::min(known.begun,
                               steady_clock::now() -
@@ -178,18 +179,19 @@
 {
     const auto& service = record.order.service;
     const auto age = steady_clock::now() - record.begun;
-    stored_rollout_state verdict;
-    verdict.release = record.order.release;
-    verdict.state = state;
-    verdict.begun_ms = wall_clock_ms() - static_cast<std::uint64_t>(to_ms(age));
+    stored_rollout_state stored_state;
+    stored_state.release = record.order.release;
+    stored_state.state = state;
+    stored_state.started_at_ms =
+        wall_clock_ms() - static_cast<std::uint64_t>(to_ms(age));
     const auto expected = m_stored[service].revision;
     const auto outcome =
         m_store.write({m_source.state_row(service), expected,
-                       m_source.encode_state(service, verdict)});
+                       m_source.encode_state(service, stored_state)});
     if (outcome && outcome->written)
     {
-        verdict.revision = outcome->revision;
-        m_stored[service] = verdict;
+        stored_state.revision = outcome->revision;
+        m_stored[service] = stored_state;
         return true;
     }
     m_mesh.board.decisions.note("rollout_not_written", service,
--- a/src/control/route_controller.cpp
+++ b/src/control/route_controller.cpp
@@ -28,8 +28,8 @@
 // which a change must be in force.
 constexpr milliseconds poller_pause(800);
 constexpr milliseconds reader_pause(500);
-constexpr milliseconds least_wait(100);
-constexpr milliseconds most_wait(800);
+constexpr milliseconds min_wait(100);
+constexpr milliseconds max_wait(800);
 // Peers of other domains may have a version this much earlier: the own reader
 // pauses and reads, and its update takes two or three hops.
 constexpr milliseconds peer_grace(700);
@@ -40,7 +40,7 @@
 // A slower member is skipped, since the next update is due by then.
 constexpr milliseconds update_timeout(600);
 // Lower bound of the interval at which a listening node checks its role.
-constexpr milliseconds least_listen_wait(20);
+constexpr milliseconds min_listen_wait(20);
 
 // When all nodes start together a node's member list is empty at first and it
 // would rank itself best. By this time it knows the other members.
@@ -57,7 +57,7 @@
     : m_mesh(mesh)
     , m_store(store)
     , m_source(std::move(source))
-    , m_waits(least_wait, most_wait)
+    , m_waits(min_wait, max_wait)
 {
 }
 
@@ -136,7 +136,7 @@
 route_controller::step route_controller::listen()
 {
     const auto left = m_role.listens_until() - steady_clock::now();
-    sleep_for(m_mesh.on.io(), std::max<duration>(left, least_listen_wait));
+    sleep_for(m_mesh.on.io(), std::max<duration>(left, min_listen_wait));
     return step::follow;
 }
 
--- a/src/distribution/key_range.cpp
+++ b/src/distribution/key_range.cpp
@@ -13,7 +13,7 @@
 {
 
 // Members to which a part is offered before it is given up.
-constexpr std::size_t most_candidates = 3;
+constexpr std::size_t max_candidates = 3;
 
 /** Returns the live members in @p range without this node, ordered by key. */
 std::vector<const keyed_member*> members_in(const key_range& range,
@@ -23,8 +23,8 @@
     const auto& self = members.self().rpc;
     std::vector<const keyed_member*> inside;
     auto each =
-        std::ranges::lower_bound(all, range.least, {}, &keyed_member::key);
-    for (; each != all.end() && each->key <= range.most; ++each)
+        std::ranges::lower_bound(all, range.min_key, {}, &keyed_member::key);
+    for (; each != all.end() && each->key <= range.max_key; ++each)
         if (is_live(*each->record) && each->record->rpc != self)
             inside.push_back(&*each);
     return inside;
@@ -44,7 +44,7 @@
         order,
         [&](std::size_t i) { return group[i]->record->place == self.place; });
     std::vector<address> chosen;
-    for (std::size_t i = 0; i < std::min(most_candidates, order.size()); ++i)
+    for (std::size_t i = 0; i < std::min(max_candidates, order.size()); ++i)
         chosen.push_back(group[order[i]]->record->rpc);
     return chosen;
 }
@@ -83,9 +83,9 @@
     if (!range.contains(own_key))
         return;
     if (kept.front()->key > own_key)
-        range.least = own_key + 1;
+        range.min_key = own_key + 1;
     else
-        range.most = own_key - 1;
+        range.max_key = own_key - 1;
 }
 
 std::string to_hex(std::uint64_t number)
@@ -117,14 +117,15 @@
     const auto inside = members_in(range, members);
     const auto groups = group(inside, fanout, own_key);
     std::vector<range_part> parts;
-    auto least = range.least;
+    auto min_key = range.min_key;
     for (std::size_t i = 0; i < groups.size(); ++i)
     {
         const bool is_last = i + 1 == groups.size();
         range_part part;
-        part.range.least = least;
-        part.range.most = is_last ? range.most : groups[i + 1].front()->key - 1;
-        least = part.range.most + 1;
+        part.range.min_key = min_key;
+        part.range.max_key =
+            is_last ? range.max_key : groups[i + 1].front()->key - 1;
+        min_key = part.range.max_key + 1;
         exclude(own_key, groups[i], part.range);
         part.live_members = groups[i].size();
         part.candidates = choose_candidates(groups[i], members.self(), random);
@@ -149,17 +150,17 @@
 {
     if (range == key_range{})
         return;
-    into["lo"] = to_hex(range.least);
-    into["hi"] = to_hex(range.most);
+    into["lo"] = to_hex(range.min_key);
+    into["hi"] = to_hex(range.max_key);
 }
 
 key_range range_from_json(const boost::json::object& members)
 {
     key_range range;
-    if (const auto* least = members.if_contains("lo"))
-        range.least = from_hex(*least);
-    if (const auto* most = members.if_contains("hi"))
-        range.most = from_hex(*most);
+    if (const auto* low = members.if_contains("lo"))
+        range.min_key = from_hex(*low);
+    if (const auto* high = members.if_contains("hi"))
+        range.max_key = from_hex(*high);
     return range;
 }
 
--- a/src/distribution/update_log.cpp
+++ b/src/distribution/update_log.cpp
@@ -8,7 +8,7 @@
     if (!m_updates.empty() && update.version != m_updates.back().version + 1)
         m_updates.clear();
     m_updates.push_back(update);
-    if (m_updates.size() > most_kept)
+    if (m_updates.size() > max_kept)
         m_updates.pop_front();
 }
 
--- a/src/distribution/version_gate.cpp
+++ b/src/distribution/version_gate.cpp
@@ -28,15 +28,16 @@
     note_version(update.version);
     const auto decision = decide(update);
     if (decision == gate_decision::applied)
-        retry_held();
+        retry_waiting();
     if (decision != gate_decision::missing_parent &&
         decision != gate_decision::waiting_names)
         return decision;
-    hold(update);
-    return m_held.contains(update.version) ? decision : gate_decision::too_far;
+    add_waiting(update);
+    return m_waiting.contains(update.version) ? decision
+                                              : gate_decision::too_far;
 }
 
-bool version_gate::retry_held()
+bool version_gate::retry_waiting()
 {
     bool any = false;
     bool again = true;
@@ -44,12 +45,13 @@
     {
         again = false;
         // Newest first: a whole table supersedes the versions below it.
-        for (auto held = m_held.rbegin(); held != m_held.rend(); ++held)
+        for (auto candidate = m_waiting.rbegin(); candidate != m_waiting.rend();
+             ++candidate)
         {
-            const auto update = held->second;
+            const auto update = candidate->second;
             const auto decision = decide(update);
             if (decision == gate_decision::corrupt)
-                m_held.erase(update.version);
+                m_waiting.erase(update.version);
             again = decision == gate_decision::applied;
             if (again || decision == gate_decision::corrupt)
                 break;
@@ -97,28 +99,28 @@
     const auto before = m_current;
     m_current = table_view_ptr(new table_view(
         update.version, update.digest, update.accepted_us, std::move(table)));
-    drop_held_up_to(update.version);
+    drop_waiting_up_to(update.version);
     if (m_applied)
         m_applied(*before, *m_current);
     return gate_decision::applied;
 }
 
-void version_gate::hold(const table_update& update)
+void version_gate::add_waiting(const table_update& update)
 {
-    auto& held = m_held[update.version];
-    if (!held.whole) // a whole table is kept in favour of a delta
-        held = update;
-    while (m_held.size() > most_held)
+    auto& known = m_waiting[update.version];
+    if (!known.whole) // a whole table is kept in favour of a delta
+        known = update;
+    while (m_waiting.size() > max_waiting)
     {
         // The lowest is needed first; the highest can be pulled later.
-        const auto farthest = std::prev(m_held.end());
-        m_held.erase(farthest);
+        const auto farthest = std::prev(m_waiting.end());
+        m_waiting.erase(farthest);
     }
 }
 
-void version_gate::drop_held_up_to(std::uint64_t version)
+void version_gate::drop_waiting_up_to(std::uint64_t version)
 {
-    m_held.erase(m_held.begin(), m_held.upper_bound(version));
+    m_waiting.erase(m_waiting.begin(), m_waiting.upper_bound(version));
 }
 
 } // namespace tillerhall
--- a/src/distribution/write_pace.cpp
+++ b/src/distribution/write_pace.cpp
@@ -8,8 +8,8 @@
 {
 
 // More than the one second of writes that is queued at a refusal.
-constexpr std::chrono::seconds least_spread(4);
-constexpr std::chrono::seconds most_spread(60);
+constexpr std::chrono::seconds min_spread(4);
+constexpr std::chrono::seconds max_spread(60);
 // Share of the partition's rate; the rest is left for urgent writes.
 constexpr double used_share = 0.5;
 
@@ -30,19 +30,18 @@
 duration write_pace::initial_delay(std::size_t members,
                                    random_source& random) const
 {
-    return uniform_within(std::min<duration>(spread_for(members), most_spread),
+    return uniform_within(std::min<duration>(spread_for(members), max_spread),
                           random);
 }
 
 duration write_pace::delay_after_refusal(std::size_t members,
                                          random_source& random)
 {
-    constexpr unsigned most_doublings = 4;
-    const auto grown =
-        least_spread * (1U << std::min(m_refusals, most_doublings));
+    constexpr unsigned max_doublings = 4;
+    const auto grown = min_spread * (1U << std::min(m_refusals, max_doublings));
     const auto span = std::max<duration>(grown, spread_for(members));
     ++m_refusals;
-    return uniform_within(std::min<duration>(span, most_spread), random);
+    return uniform_within(std::min<duration>(span, max_spread), random);
 }
 
 } // namespace tillerhall
--- a/src/http/exchange.cpp
+++ b/src/http/exchange.cpp
@@ -44,7 +44,7 @@
     exchange_result run()
     {
         if (m_scope.is_cancelled())
-            return ended_with(exchange_end::cancelled, "the client left");
+            return result_of(exchange_end::cancelled, "the client left");
         const cancel_action action(m_scope, [this] { close(); });
         m_stream.expires_at(m_plan.deadline);
         if (m_request.body().size() <= inline_body_bytes)
@@ -128,15 +128,15 @@
             return std::move(m_result);
         }
         if (m_scope.is_cancelled())
-            return ended_with(exchange_end::cancelled, "the client left");
+            return result_of(exchange_end::cancelled, "the client left");
         if (m_bytes_out == 0 && m_write_failed)
-            return ended_with(exchange_end::not_sent, m_result.detail);
-        return ended_with(m_timed_out ? exchange_end::timed_out
-                                      : exchange_end::unknown,
-                          m_result.detail);
+            return result_of(exchange_end::not_sent, m_result.detail);
+        return result_of(m_timed_out ? exchange_end::timed_out
+                                     : exchange_end::unknown,
+                         m_result.detail);
     }
 
-    exchange_result ended_with(exchange_end end, std::string detail)
+    exchange_result result_of(exchange_end end, std::string detail)
     {
         m_result.end = end;
         m_result.detail = std::move(detail);
--- a/src/http/fields.cpp
+++ b/src/http/fields.cpp
@@ -66,7 +66,7 @@
     return std::string(host.substr(0, host.find(':')));
 }
 
-bool is_repeatable_method(http::verb method) noexcept
+bool is_idempotent_method(http::verb method) noexcept
 {
     constexpr std::array idempotent{http::verb::get,     http::verb::head,
                                     http::verb::options, http::verb::trace,
--- a/src/http/relay.cpp
+++ b/src/http/relay.cpp
@@ -34,7 +34,8 @@
     relay_result run()
     {
         m_upstream.expires_at(m_plan.deadline);
-        const bool sent = m_call.is_whole() ? send_buffered() : send_streamed();
+        const bool sent =
+            m_call.has_whole_body() ? send_buffered() : send_streamed();
         if (sent && read_answer_head() && !handle_refusal())
             answer();
         return std::move(m_result);
@@ -200,7 +201,8 @@
         const auto size = read_body(scratch, failed);
         (void)size;
         m_result.reusable = !failed && m_parser->is_done() &&
-                            m_parser->get().keep_alive() && m_call.is_whole();
+                            m_parser->get().keep_alive() &&
+                            m_call.has_whole_body();
     }
 
     std::size_t read_body(std::span<char> into,
@@ -264,11 +266,11 @@
         if (size != 0 || !has_length)
             response.prepare_payload();
         response.keep_alive(m_call.can_keep_alive());
-        if (m_plan.keep_answer)
+        if (m_plan.store_answer)
             m_result.kept =
-                kept_answer{response.result_int(),
-                            std::string(response[http::field::content_type]),
-                            response.body()};
+                stored_answer{response.result_int(),
+                              std::string(response[http::field::content_type]),
+                              response.body()};
         boost::system::error_code failed;
         http::async_write(m_call.stream(), response, await{failed});
         finish(failed);
@@ -319,7 +321,7 @@
         m_result.end = failed ? relay_end::caller_gone : relay_end::answered;
         m_result.reusable = !failed && m_parser->is_done() &&
                             m_parser->keep_alive() && m_buffer.size() == 0 &&
-                            m_call.is_whole();
+                            m_call.has_whole_body();
     }
 
     /** Records a failure. @return false, for use in return statements. */
--- a/src/membership/member.cpp
+++ b/src/membership/member.cpp
@@ -34,7 +34,7 @@
     incarnation,
     field_count, ///< of the first format; all later fields are optional
     target_id = field_count,
-    left_targets,
+    departed_targets,
     link_mbps,
     target_crashes, ///< written only if it or a later field is not empty
     good_runs,
@@ -106,7 +106,7 @@
 template <class Event>
 bool add_newest(std::vector<Event>& to,
                 const std::vector<Event>& offered,
-                std::size_t most_kept)
+                std::size_t max_kept)
 {
     auto all = to;
     std::ranges::copy_if(offered, std::back_inserter(all),
@@ -114,9 +114,9 @@
                          { return std::ranges::find(to, each) == to.end(); });
     std::ranges::sort(all, {},
                       [](const Event& each) { return sort_key(each); });
-    if (all.size() > most_kept)
+    if (all.size() > max_kept)
         all.erase(all.begin(),
-                  all.end() - static_cast<std::ptrdiff_t>(most_kept));
+                  all.end() - static_cast<std::ptrdiff_t>(max_kept));
     const bool changed = all != to;
     to = std::move(all);
     return changed;
@@ -149,21 +149,23 @@
     return offered.state > known.state;
 }
 
-bool add_left_targets(member& to, const std::vector<std::string>& left)
+bool add_departed_targets(member& to, const std::vector<std::string>& left)
 {
-    constexpr std::size_t most_kept = 8;
+    constexpr std::size_t max_kept = 8;
     std::vector<std::string> missing;
     std::ranges::copy_if(left, std::back_inserter(missing),
-                         [&](const std::string& id) {
-                             return std::ranges::find(to.left_targets, id) ==
-                                    to.left_targets.end();
+                         [&](const std::string& id)
+                         {
+                             return std::ranges::find(to.departed_targets,
+                                                      id) ==
+                                    to.departed_targets.end();
                          });
     // Entries of the record itself are newer.
-    to.left_targets.insert(to.left_targets.begin(), missing.begin(),
-                           missing.end());
-    if (to.left_targets.size() > most_kept)
-        to.left_targets.erase(to.left_targets.begin(),
-                              to.left_targets.end() - most_kept);
+    to.departed_targets.insert(to.departed_targets.begin(), missing.begin(),
+                               missing.end());
+    if (to.departed_targets.size() > max_kept)
+        to.departed_targets.erase(to.departed_targets.begin(),
+                                  to.departed_targets.end() - max_kept);
     return !missing.empty();
 }
 
@@ -187,14 +189,14 @@
 
 bool add_target_crashes(member& to, const std::vector<target_crash>& crashes)
 {
-    constexpr std::size_t most_kept = 4;
-    return add_newest(to.target_crashes, crashes, most_kept);
+    constexpr std::size_t max_kept = 4;
+    return add_newest(to.target_crashes, crashes, max_kept);
 }
 
 bool add_good_runs(member& to, const std::vector<good_run>& runs)
 {
-    constexpr std::size_t most_kept = 16;
-    return add_newest(to.good_runs, runs, most_kept);
+    constexpr std::size_t max_kept = 16;
+    return add_newest(to.good_runs, runs, max_kept);
 }
 
 bool forget_crash_evidence(member& of, std::uint64_t oldest_ms)
@@ -220,7 +222,7 @@
                       static_cast<int>(sent.state),
                       sent.incarnation,
                       sent.target_id,
-                      json::value_from(sent.left_targets),
+                      json::value_from(sent.departed_targets),
                       sent.link_mbps};
     const bool no_crash_data =
         sent.target_crashes.empty() && sent.good_runs.empty();
@@ -254,11 +256,11 @@
         read.state =
             enum_from<member_state>(cells[state], member_state_names.size());
         read.incarnation = json::value_to<std::uint64_t>(cells[incarnation]);
-        if (cells.size() > left_targets)
+        if (cells.size() > departed_targets)
         {
             read.target_id = json::value_to<std::string>(cells[target_id]);
-            read.left_targets =
-                json::value_to<std::vector<std::string>>(cells[left_targets]);
+            read.departed_targets = json::value_to<std::vector<std::string>>(
+                cells[departed_targets]);
         }
         if (cells.size() > link_mbps)
             read.link_mbps = json::value_to<std::uint32_t>(cells[link_mbps]);
--- a/src/membership/member_list.cpp
+++ b/src/membership/member_list.cpp
@@ -50,7 +50,7 @@
     // A new boot may not know yet what its earlier boot reported.
     if (known != nullptr)
     {
-        add_left_targets(taken, known->left_targets);
+        add_departed_targets(taken, known->departed_targets);
         add_target_crashes(taken, known->target_crashes);
         add_good_runs(taken, known->good_runs);
         forget_crash_evidence(taken, m_oldest_evidence_ms);
@@ -65,7 +65,8 @@
     // of any other version of the record.
     auto raised = self();
     const bool accused = supersedes(offered, raised);
-    const bool departure_added = add_left_targets(raised, offered.left_targets);
+    const bool departure_added =
+        add_departed_targets(raised, offered.departed_targets);
     const bool crash_added = add_target_crashes(raised, offered.target_crashes);
     const bool run_added = add_good_runs(raised, offered.good_runs);
     const bool learned = departure_added || crash_added || run_added;
--- a/src/node/call_admission.cpp
+++ b/src/node/call_admission.cpp
@@ -8,22 +8,22 @@
 namespace tillerhall
 {
 
-admission_verdict call_admission::acquire(boost::asio::io_context& io,
-                                          const admission_request& request)
+admission_decision call_admission::acquire(boost::asio::io_context& io,
+                                           const admission_request& request)
 {
     const auto now = steady_clock::now();
     const auto timer = std::make_shared<boost::asio::steady_timer>(io);
     admission_waiter waiter;
     {
         const std::lock_guard lock(m_mutex);
-        const auto verdict =
+        const auto decision =
             m_admission.arrive(now, {.deadline = request.deadline,
                                      .rank = request.rank,
                                      .due = request.due,
-                                     .most_wait = request.most_wait,
+                                     .max_wait = request.max_wait,
                                      .run = request.run});
-        if (verdict != admission_verdict::wait)
-            return verdict;
+        if (decision != admission_decision::wait)
+            return decision;
         timer->expires_at(
             std::min(request.deadline, now + m_admission.limits().queue_wait));
         waiter.caller = request.caller;
@@ -47,10 +47,10 @@
         timer->async_wait(await{ignored});
     const std::lock_guard lock(m_mutex);
     if (waiter.granted)
-        return admission_verdict::run;
+        return admission_decision::run;
     m_admission.give_up(waiter);
-    return waiter.expired ? admission_verdict::deadline_too_near
-                          : admission_verdict::queue_full;
+    return waiter.expired ? admission_decision::deadline_too_near
+                          : admission_decision::queue_full;
 }
 
 void call_admission::release(duration took)
--- a/src/node/call_context.cpp
+++ b/src/node/call_context.cpp
@@ -71,7 +71,7 @@
     context.service = host_service(head);
     context.start = now;
     context.deadline = now + milliseconds(max_deadline_ms);
-    context.repeatable = is_repeatable_method(head.method());
+    context.repeatable = is_idempotent_method(head.method());
     const std::string_view id = head[field_name::request_id];
     context.request_id = is_usable_id(id) ? std::string(id) : make_request_id();
     context.caller = std::string(head[field_name::caller]);
@@ -116,8 +116,8 @@
 
 std::string body_digest(const inbound_call& call)
 {
-    const auto length =
-        call.is_whole() ? call.prefix().size() : call.length().value_or(0);
+    const auto length = call.has_whole_body() ? call.prefix().size()
+                                              : call.length().value_or(0);
     return digest_of(call.prefix() + "/" + std::to_string(length));
 }
 
@@ -141,7 +141,7 @@
 
 void send_replay(inbound_call& call,
                  const std::string& request_id,
-                 const kept_answer& answer)
+                 const stored_answer& answer)
 {
     http::response<http::string_body> response(
         static_cast<http::status>(answer.status), 11);
--- a/src/node/claim_controller.cpp
+++ b/src/node/claim_controller.cpp
@@ -27,7 +27,7 @@
 constexpr const char* claim_method = "claim";
 constexpr const char* finish_method = "claimed";
 
-constexpr std::array<std::string_view, 6> verdict_names{
+constexpr std::array<std::string_view, 6> outcome_names{
     "granted",     "other_body",   "in_progress",
     "already_ran", "may_have_run", "store_down"};
 
@@ -36,13 +36,13 @@
     return stable_hash(key) % claim_controller::shard_count;
 }
 
-json::object to_json(const kept_answer& answer)
+json::object to_json(const stored_answer& answer)
 {
     return {
         {"s", answer.status}, {"t", answer.content_type}, {"b", answer.body}};
 }
 
-kept_answer kept_answer_from(const json::object& members)
+stored_answer stored_answer_from(const json::object& members)
 {
     return {json::value_to<unsigned>(members.at("s")),
             json::value_to<std::string>(members.at("t")),
@@ -51,7 +51,7 @@
 
 json::object to_json(const claim_answer& answer)
 {
-    json::object members{{"v", static_cast<int>(answer.verdict)}};
+    json::object members{{"v", static_cast<int>(answer.outcome)}};
     if (answer.answer)
         members["a"] = to_json(*answer.answer);
     return members;
@@ -60,20 +60,20 @@
 claim_answer answer_from(const json::object& members)
 {
     claim_answer answer;
-    const auto verdict = json::value_to<std::size_t>(members.at("v"));
-    if (verdict >= verdict_names.size())
+    const auto outcome = json::value_to<std::size_t>(members.at("v"));
+    if (outcome >= outcome_names.size())
         throw std::out_of_range("unknown verdict");
-    answer.verdict = static_cast<claim_verdict>(verdict);
+    answer.outcome = static_cast<claim_outcome>(outcome);
     if (const auto* kept = members.if_contains("a"))
-        answer.answer = kept_answer_from(kept->as_object());
+        answer.answer = stored_answer_from(kept->as_object());
     return answer;
 }
 
 } // namespace
 
-std::string_view name_of(claim_verdict verdict) noexcept
+std::string_view name_of(claim_outcome outcome) noexcept
 {
-    return verdict_names[static_cast<std::size_t>(verdict)];
+    return outcome_names[static_cast<std::size_t>(outcome)];
 }
 
 /** A claim that waits for its batch, shared by the claiming fiber and the
@@ -160,7 +160,7 @@
 
 void claim_controller::finish(const std::string& key,
                               claim_state state,
-                              const std::optional<kept_answer>& answer)
+                              const std::optional<stored_answer>& answer)
 {
     const auto coordinator = coordinator_of(shard_of(key));
     if (is_self(coordinator))
@@ -184,9 +184,9 @@
     const auto state = json::value_to<std::size_t>(params.at("s"));
     if (state > static_cast<std::size_t>(claim_state::released))
         throw std::out_of_range("unknown claim state");
-    std::optional<kept_answer> answer;
+    std::optional<stored_answer> answer;
     if (const auto* kept = params.if_contains("a"))
-        answer = kept_answer_from(kept->as_object());
+        answer = stored_answer_from(kept->as_object());
     finish_locally(json::value_to<std::string>(params.at("k")),
                    static_cast<claim_state>(state), answer);
     return {};
@@ -213,9 +213,10 @@
     return {};
 }
 
-void claim_controller::finish_locally(const std::string& key,
-                                      claim_state state,
-                                      const std::optional<kept_answer>& answer)
+void claim_controller::finish_locally(
+    const std::string& key,
+    claim_state state,
+    const std::optional<stored_answer>& answer)
 {
     m_finished[key] = {"", state};
     if (answer && state == claim_state::done)
@@ -223,7 +224,7 @@
 }
 
 void claim_controller::cache_answer(const std::string& key,
-                                    const kept_answer& answer)
+                                    const stored_answer& answer)
 {
     m_cached_answers[key] = answer;
     m_cached_order.push_back(key);
@@ -283,14 +284,14 @@
     if (state == claim_state::released)
         return std::nullopt;
     if (known->nonce == pending.wanted.nonce)
-        return claim_answer{claim_verdict::granted, std::nullopt};
+        return claim_answer{claim_outcome::granted, std::nullopt};
     if (known->body != pending.wanted.body)
-        return claim_answer{claim_verdict::other_body, std::nullopt};
+        return claim_answer{claim_outcome::other_body, std::nullopt};
     if (state == claim_state::running)
-        return claim_answer{claim_verdict::in_progress, std::nullopt};
+        return claim_answer{claim_outcome::in_progress, std::nullopt};
     if (state == claim_state::unknown)
-        return claim_answer{claim_verdict::may_have_run, std::nullopt};
-    claim_answer answer{claim_verdict::already_ran, std::nullopt};
+        return claim_answer{claim_outcome::may_have_run, std::nullopt};
+    claim_answer answer{claim_outcome::already_ran, std::nullopt};
     if (const auto kept = m_cached_answers.find(known->key);
         kept != m_cached_answers.end())
         answer.answer = kept->second;
@@ -312,9 +313,9 @@
         resolve(*pending, {});
         return false;
     }
-    if (auto verdict = check_existing(*shard, *pending))
+    if (auto outcome = check_existing(*shard, *pending))
     {
-        resolve(*pending, std::move(*verdict));
+        resolve(*pending, std::move(*outcome));
         return false;
     }
     m_finished.erase(pending->wanted.key); // the key was released
@@ -378,7 +379,7 @@
         m_mesh.board.metrics.get("tillerhall_claims_total")
             .add(static_cast<std::int64_t>(added.size()));
         for (const auto& each : added)
-            resolve(*each, {claim_verdict::granted, std::nullopt});
+            resolve(*each, {claim_outcome::granted, std::nullopt});
         return;
     }
     // The loaded shards may no longer match the store.
--- a/src/node/crash_registry.cpp
+++ b/src/node/crash_registry.cpp
@@ -35,8 +35,9 @@
 {
     if (known.empty())
         return std::nullopt;
-    const auto hold = quarantine_of(known, fingerprinted_part(call));
-    return hold && !hold->may_be_probed(false) ? hold : std::nullopt;
+    const auto quarantine = quarantine_of(known, fingerprinted_part(call));
+    return quarantine && !quarantine->may_be_probed(false) ? quarantine
+                                                           : std::nullopt;
 }
 
 crash_registry::run::run(crash_registry& in, const inbound_call& call)
--- a/src/node/distribution_controller.cpp
+++ b/src/node/distribution_controller.cpp
@@ -15,7 +15,7 @@
 // Pushes are acknowledged on receipt, so a short timeout detects a dead relay.
 constexpr milliseconds push_timeout(700);
 constexpr milliseconds pull_timeout(3000);
-constexpr unsigned most_snapshots_served = 4;
+constexpr unsigned max_snapshots_served = 4;
 // Member changes come in bursts; the route view is rebuilt once for each burst.
 constexpr milliseconds publish_delay(10);
 
@@ -74,7 +74,7 @@
         return;
     m_mesh.board.decisions.note(
         "held_or_dropped", "version " + std::to_string(update.version), name,
-        {{"current", current()->version()}, {"held", m_gate.held()}});
+        {{"current", current()->version()}, {"held", m_gate.waiting()}});
 }
 
 bool distribution_controller::names_known(const config_table& table) const
@@ -133,7 +133,7 @@
         {
             sleep_for(m_mesh.on.io(), publish_delay);
             m_publish_due = false;
-            m_gate.retry_held();
+            m_gate.retry_waiting();
             publish_routes();
         });
 }
@@ -273,7 +273,7 @@
 
 json::object distribution_controller::on_snapshot(const json::object&)
 {
-    if (m_snapshots_served >= most_snapshots_served)
+    if (m_snapshots_served >= max_snapshots_served)
     {
         m_mesh.board.metrics.get("tillerhall_snapshot_refused_total").add();
         return refusal(error_code::retry_later, "serving snapshots to others");
--- a/src/node/entry_claims.cpp
+++ b/src/node/entry_claims.cpp
@@ -16,7 +16,7 @@
 /** The response to a keyed call whose claim was not granted. */
 struct claim_problem
 {
-    claim_verdict verdict;
+    claim_outcome claim;
     unsigned status;
     std::string_view title;
     std::string_view remedy;
@@ -24,34 +24,34 @@
 };
 
 constexpr std::array claim_problem_table{
-    claim_problem{claim_verdict::other_body, 422,
+    claim_problem{claim_outcome::other_body, 422,
                   "the key was used for another body",
                   "take a new Idempotency-Key for a new operation",
                   outcome_value::not_run},
-    claim_problem{claim_verdict::in_progress, 409,
+    claim_problem{claim_outcome::in_progress, 409,
                   "a call with this key is under way",
                   "repeat with the same key after the time in Retry-After",
                   outcome_value::unknown},
-    claim_problem{claim_verdict::already_ran, 409,
+    claim_problem{claim_outcome::already_ran, 409,
                   "the call with this key already ran",
                   "look up its result; the answer is no longer kept",
                   outcome_value::already_ran},
     claim_problem{
-        claim_verdict::may_have_run, 409, "the call with this key may have run",
+        claim_outcome::may_have_run, 409, "the call with this key may have run",
         "check before repeating it under a new key", outcome_value::unknown},
 };
 
-call_problem problem_of_claim(claim_verdict verdict)
+call_problem problem_of_claim(claim_outcome claim)
 {
-    const auto found = std::ranges::find(claim_problem_table, verdict,
-                                         &claim_problem::verdict);
+    const auto found =
+        std::ranges::find(claim_problem_table, claim, &claim_problem::claim);
     call_problem problem;
     problem.status = found->status;
     problem.title = found->title;
     problem.detail = found->title;
     problem.remedy = found->remedy;
     problem.outcome = found->outcome;
-    if (verdict == claim_verdict::in_progress)
+    if (claim == claim_outcome::in_progress)
         problem.retry_after = "1";
     return problem;
 }
@@ -92,9 +92,9 @@
                [&] { return m_claims.claim_key(context.claim_key, body); });
     m_board.metrics
         .get("tillerhall_claim_verdicts_total",
-             "verdict=\"" + std::string(name_of(claim_reply.verdict)) + "\"")
+             "verdict=\"" + std::string(name_of(claim_reply.outcome)) + "\"")
         .add();
-    if (claim_reply.verdict != claim_verdict::granted)
+    if (claim_reply.outcome != claim_outcome::granted)
         return answer_denied_claim(call, context, claim_reply);
     result = run_with_retries(call, context);
     const auto state = result.end == relay_end::answered ? claim_state::done
@@ -113,7 +113,7 @@
 {
     relay_result result;
     result.end = relay_end::not_run;
-    if (claim_reply.verdict == claim_verdict::store_down)
+    if (claim_reply.outcome == claim_outcome::store_down)
     {
         result.detail = "the key could not be claimed, so the call was not "
                         "passed on";
@@ -124,7 +124,7 @@
         send_replay(call, context.request_id, *claim_reply.answer);
     else
         send_problem(call, context.request_id,
-                     problem_of_claim(claim_reply.verdict));
+                     problem_of_claim(claim_reply.outcome));
     return result;
 }
 
--- a/src/node/entry_proxy.cpp
+++ b/src/node/entry_proxy.cpp
@@ -46,16 +46,18 @@
     return outcome_names[static_cast<std::size_t>(end)];
 }
 
-call_verdict verdict_of(const relay_result& result)
+target_call_outcome verdict_of(const relay_result& result)
 {
     constexpr unsigned server_errors = 500;
     if (result.end == relay_end::not_run)
-        return result.load ? call_verdict::refused : call_verdict::failed;
+        return result.load ? target_call_outcome::refused
+                           : target_call_outcome::failed;
     if (result.end == relay_end::caller_gone)
-        return call_verdict::refused; // not the target's fault
+        return target_call_outcome::refused; // not the target's fault
     const bool answered = result.end == relay_end::answered;
-    return answered && result.status < server_errors ? call_verdict::good
-                                                     : call_verdict::failed;
+    return answered && result.status < server_errors
+               ? target_call_outcome::good
+               : target_call_outcome::failed;
 }
 
 } // namespace
@@ -284,7 +286,7 @@
     plan.head.set(field_name::caller, context.caller);
     plan.deadline = deadline;
     plan.request_id = context.request_id;
-    plan.keep_answer = !context.claim_key.empty();
+    plan.store_answer = !context.claim_key.empty();
     auto result = relay_call(call, **stream, plan);
     if (result.reusable)
         m_pool.give_back(peer, std::move(*stream));
--- a/src/node/journal.cpp
+++ b/src/node/journal.cpp
@@ -20,7 +20,7 @@
     m_entries.push_back({wall_clock_us(), std::move(decision),
                          std::move(reason), std::move(subject),
                          std::move(figures)});
-    if (m_entries.size() > most_kept)
+    if (m_entries.size() > max_kept)
         m_entries.pop_front();
 }
 
--- a/src/node/membership_joining.cpp
+++ b/src/node/membership_joining.cpp
@@ -111,7 +111,8 @@
             m_mesh.on_rollouts(answer.rollouts);
         merge_all(answer.members, "join", propagation::none);
         m_freshness.note_peer_read(answer.source_age_ms, steady_clock::now());
-        m_tables.note_version(std::max(answer.version, answer.floor));
+        m_tables.note_version(
+            std::max(answer.version, answer.last_reported_version));
     }
     for (const auto& [peer, answer] : answers)
         if (answer.version > m_tables.current()->version())
@@ -134,7 +135,7 @@
     answer.source_age_ms = m_freshness.age_ms(steady_clock::now());
     if (const auto seen = m_versions_seen.find(joiner);
         seen != m_versions_seen.end())
-        answer.floor = seen->second;
+        answer.last_reported_version = seen->second;
     if (request.announce_to_others)
         announce_join(joiner);
     return to_json(answer);
--- a/src/node/mesh_node.cpp
+++ b/src/node/mesh_node.cpp
@@ -26,7 +26,7 @@
 // checks; until then it still receives calls.
 constexpr milliseconds max_leaving_time(3'000);
 // Time after the node stops serving, so that the last refusals are delivered.
-constexpr milliseconds min_ending(200);
+constexpr milliseconds min_finishing(200);
 // Part of the grace period that is reserved for delivering the last answers.
 constexpr milliseconds stop_margin(600);
 // Part of that margin for the error responses to calls still running then.
@@ -172,14 +172,14 @@
 
     void compose_sessions()
     {
-        const auto ending = [this] { return is_stopping(board.phase); };
+        const auto stopping = [this] { return is_stopping(board.phase); };
         const auto refuse = [this](const request_fault& fault)
         { return entry->refuse(fault); };
         client_host = {[this](received_request& request, cancel_scope& scope)
                        { return entry->answer(request, scope); },
                        refuse,
                        [this] { return board.call_map.get()->limits(); },
-                       ending,
+                       stopping,
                        nullptr,
                        &outgoing};
         peer_host = {[this](received_request& request, cancel_scope& scope)
@@ -191,7 +191,7 @@
                                               peer_head_timeout,
                                               peer_idle_timeout};
                      },
-                     ending,
+                     stopping,
                      &owner->incoming(),
                      &outgoing};
     }
@@ -382,8 +382,8 @@
                              serving_share_denominator);
         while (steady_clock::now() < serve_until)
             sleep_for(main_worker.io(), poll_interval);
-        board.phase = node_phase::ending;
-        while (steady_clock::now() < serve_until + min_ending ||
+        board.phase = node_phase::finishing;
+        while (steady_clock::now() < serve_until + min_finishing ||
                (unanswered_calls() > 0 && steady_clock::now() < deadline))
             sleep_for(main_worker.io(), poll_interval);
         end_remaining_calls();
--- a/src/node/messages.cpp
+++ b/src/node/messages.cpp
@@ -173,7 +173,7 @@
                          {"s", json::value_from(sent.services)},
                          {"p", json::value_from(sent.places)},
                          {"v", sent.version},
-                         {"l", sent.floor},
+                         {"l", sent.last_reported_version},
                          {"a", sent.source_age_ms}};
     put_rollouts(members, sent.rollouts);
     return members;
@@ -186,7 +186,7 @@
     read.services = names_from(members, "s");
     read.places = names_from(members, "p");
     read.version = json::value_to<std::uint64_t>(members.at("v"));
-    read.floor = json::value_to<std::uint64_t>(members.at("l"));
+    read.last_reported_version = json::value_to<std::uint64_t>(members.at("l"));
     read.source_age_ms = json::value_to<std::int64_t>(members.at("a"));
     read.rollouts = rollouts_from(members);
     return read;
--- a/src/node/operator_json.cpp
+++ b/src/node/operator_json.cpp
@@ -177,7 +177,7 @@
     for (const auto& attempt : record.attempts)
         attempts.push_back(json::object{{"node", attempt.node},
                                         {"place", attempt.place},
-                                        {"end", attempt.end},
+                                        {"end", attempt.outcome},
                                         {"detail", attempt.detail},
                                         {"took_ms", attempt.took_ms}});
     return {{"time_us", record.time_us},      {"request_id", record.request_id},
--- a/src/node/owner_proxy.cpp
+++ b/src/node/owner_proxy.cpp
@@ -110,10 +110,10 @@
         return refuse("no_row_for_this_place");
     const auto deadline = std::min(
         context.deadline, context.start + milliseconds(limits->timeout_ms));
-    const auto verdict = m_admission.acquire(
+    const auto decision = m_admission.acquire(
         m_worker.io(), {.caller = context.caller, .deadline = deadline});
-    if (verdict != admission_verdict::run)
-        return refuse(std::string(name_of(verdict)));
+    if (decision != admission_decision::run)
+        return refuse(std::string(name_of(decision)));
     ++m_board.calls_in_flight;
     const auto begin = steady_clock::now();
     auto result = run_admitted(call, context, deadline, from_peer);
@@ -145,7 +145,7 @@
     plan.deadline = deadline;
     plan.not_run_header = m_config.target_not_run_header;
     plan.request_id = context.request_id;
-    plan.keep_answer = !context.claim_key.empty();
+    plan.store_answer = !context.claim_key.empty();
     if (from_peer)
         plan.load = m_admission.load();
     return relay(call, plan, std::move(*stream));
--- a/src/node/settings.cpp
+++ b/src/node/settings.cpp
@@ -108,8 +108,8 @@
         {
             std::string_view name;
             double objective::*field;
-            double least;
-            double most;
+            double min_value;
+            double max_value;
         };
         constexpr std::array table{
             goal_entry{"answered_percent", &objective::answered_percent, 0,
@@ -124,7 +124,7 @@
         try
         {
             const auto number = value.as<double>();
-            if (number >= found->least && number <= found->most)
+            if (number >= found->min_value && number <= found->max_value)
             {
                 goal.*found->field = number;
                 return;
@@ -136,8 +136,8 @@
         }
         fail(key.Mark(), error_code::out_of_range,
              "objectives." + service + "." + name + " does not fit",
-             "write a number from " + std::to_string(found->least) + " to " +
-                 std::to_string(found->most));
+             "write a number from " + std::to_string(found->min_value) +
+                 " to " + std::to_string(found->max_value));
     }
 
     void read_setting(const std::string& path,
@@ -178,13 +178,13 @@
         const auto* const end = text.data() + text.size();
         const auto parsed = std::from_chars(text.data(), end, number);
         const bool is_number = parsed.ec == std::errc() && parsed.ptr == end;
-        if (!is_number || number < of.least || number > of.most)
+        if (!is_number || number < of.min_value || number > of.max_value)
             return fail(
                 mark,
                 is_number ? error_code::out_of_range : error_code::bad_syntax,
                 std::string(of.path) + " \"" + text + "\" does not fit",
-                "write a whole number from " + std::to_string(of.least) +
-                    " to " + std::to_string(of.most));
+                "write a whole number from " + std::to_string(of.min_value) +
+                    " to " + std::to_string(of.max_value));
         m_outcome.read.*field = number;
     }
 
@@ -196,8 +196,8 @@
         double number = 0;
         const bool is_number =
             value.IsScalar() && YAML::convert<double>::decode(value, number);
-        if (is_number && number >= static_cast<double>(of.least) &&
-            number <= static_cast<double>(of.most))
+        if (is_number && number >= static_cast<double>(of.min_value) &&
+            number <= static_cast<double>(of.max_value))
         {
             m_outcome.read.*field = number;
             return;
@@ -205,8 +205,8 @@
         fail(mark,
              is_number ? error_code::out_of_range : error_code::bad_syntax,
              std::string(of.path) + " does not fit",
-             "write a number from " + std::to_string(of.least) + " to " +
-                 std::to_string(of.most));
+             "write a number from " + std::to_string(of.min_value) + " to " +
+                 std::to_string(of.max_value));
     }
 
     void assign(const setting& of,
--- a/src/observe/burn_tracker.cpp
+++ b/src/observe/burn_tracker.cpp
@@ -95,7 +95,7 @@
         entry.cause = top_cause->first;
         entry.cause_count = top_cause->second;
     }
-    entry.latencies = recorded.latencies.sparse();
+    entry.latencies = recorded.latencies.bucket_counts();
     return entry;
 }
 
--- a/src/observe/latency_histogram.cpp
+++ b/src/observe/latency_histogram.cpp
@@ -82,7 +82,7 @@
     return above + share * static_cast<double>(m_state->at(bucket));
 }
 
-std::map<int, std::uint64_t> latency_histogram::sparse() const
+std::map<int, std::uint64_t> latency_histogram::bucket_counts() const
 {
     const std::lock_guard lock(m_mutex);
     std::map<int, std::uint64_t> counts;
--- a/src/proxy/call_entry.cpp
+++ b/src/proxy/call_entry.cpp
@@ -61,15 +61,16 @@
            is_server_error(answer.response->result_int());
 }
 
-call_verdict verdict_of(const owner_answer& answer)
+target_call_outcome verdict_of(const owner_answer& answer)
 {
     if (answer.end == call_end::not_run)
-        return answer.reached || answer.report.load ? call_verdict::refused
-                                                    : call_verdict::failed;
+        return answer.reached || answer.report.load
+                   ? target_call_outcome::refused
+                   : target_call_outcome::failed;
     if (answer.end == call_end::cancelled)
-        return call_verdict::unknown;
+        return target_call_outcome::unknown;
     const bool good = answer.end == call_end::answered && !is_failure(answer);
-    return good ? call_verdict::good : call_verdict::failed;
+    return good ? target_call_outcome::good : target_call_outcome::failed;
 }
 
 } // namespace
@@ -127,7 +128,7 @@
     const auto routes = m_board.call_map.get();
     if (routes->version() == 0)
         return m_answers.unavailable(id, "this node has no routes yet");
-    if (m_board.phase == node_phase::ending)
+    if (m_board.phase == node_phase::finishing)
         return m_answers.unavailable(id, "this node ends");
     state.route = routes->find(message[http::field::host], message.target());
     if (state.route == nullptr)
@@ -229,7 +230,7 @@
 {
     const auto objective =
         std::chrono::duration_cast<milliseconds>(call.objective);
-    m_objectives.saw(objective);
+    m_objectives.count_call(objective);
     auto& runs = m_local.runs();
     // Without parent ids a short objective identifies the calls of targets.
     call.nested =
@@ -402,7 +403,7 @@
     if (scope.is_cancelled() ||
         steady_clock::now() + min_time_left >= state.call.deadline)
         return false;
-    if (state.targets_reached >= state.route->most_targets ||
+    if (state.targets_reached >= state.route->max_targets ||
         state.tried.size() + 1 >= max_owners_tried)
         return false;
     return is_worth_retrying(request, state, last) &&
@@ -473,7 +474,7 @@
         return m_refusals.admitted(owner.rpc, state.refusal_key());
     const bool has_no_room =
         answer.end == call_end::not_run &&
-        answer.reason == name_of(admission_verdict::queue_full);
+        answer.reason == name_of(admission_decision::queue_full);
     if (has_no_room && (answer.report.is_saturated || m_worker.is_saturated()))
         m_refusals.refused(owner.rpc, state.refusal_key(), answer.retry_after,
                            m_random.unit(), now);
--- a/src/proxy/target_owner.cpp
+++ b/src/proxy/target_owner.cpp
@@ -54,7 +54,7 @@
 }
 
 /** @return the longest expected wait at which a call is still admitted. */
-duration most_wait(const owner_call& call)
+duration max_wait_of(const owner_call& call)
 {
     return call.objective / (call.nested ? nested_wait_divisor : wait_divisor);
 }
@@ -106,7 +106,7 @@
 bool target_owner::takes_calls() const
 {
     return m_targets.in_use() != nullptr && m_is_up &&
-           m_board.phase != node_phase::ending;
+           m_board.phase != node_phase::finishing;
 }
 
 load_report target_owner::current_load() const
@@ -284,7 +284,7 @@
         return std::move(*refused);
     if (!m_is_up)
         return refuse(call, "target_down");
-    if (m_board.phase == node_phase::ending)
+    if (m_board.phase == node_phase::finishing)
         return refuse(call, "node_ending");
     if (m_shedder.sheds(m_random.unit(), steady_clock::now()))
     {
@@ -298,21 +298,21 @@
         refused.retry_after = *excess_wait;
         return refused;
     }
-    const auto verdict =
+    const auto decision =
         m_admission.acquire(m_worker.io(), {.deadline = call.deadline,
                                             .rank = call.urgency(),
                                             .due = due(call),
-                                            .most_wait = most_wait(call),
+                                            .max_wait = max_wait_of(call),
                                             .run = expected_run(call),
                                             .scope = &scope});
     if (scope.is_cancelled())
     {
-        if (verdict == admission_verdict::run)
+        if (decision == admission_decision::run)
             m_admission.release(m_admission.mean_run());
         return client_left(call);
     }
-    if (verdict != admission_verdict::run)
-        return refuse(call, std::string(name_of(verdict)));
+    if (decision != admission_decision::run)
+        return refuse(call, std::string(name_of(decision)));
     // The target's state may have changed while the call was queued.
     if (auto refused = refusal_to_send(call))
     {
--- a/src/rollout/rollout_plan.cpp
+++ b/src/rollout/rollout_plan.cpp
@@ -86,7 +86,7 @@
         return rollout_move::give_up;
     const auto min_duration =
         is_last ? min_last_stage_duration : min_stage_duration;
-    if (progress.canary_targets == 0 ||
+    if (progress.live_canary_targets == 0 ||
         now < progress.stage_begun + min_duration ||
         now < time_at(settings_of(known.stage).end))
         return rollout_move::wait;
--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -8,12 +8,12 @@
 namespace
 {
 
-constexpr std::array<std::string_view, 5> verdict_names{
+constexpr std::array<std::string_view, 5> decision_names{
     "run", "wait", "rate_exceeded", "queue_full", "deadline_too_near"};
 
 // The newest run time has a weight of 1 / mean_runs in the mean.
 constexpr int mean_runs = 32;
-constexpr double least_burst = 1;
+constexpr double min_burst = 1;
 // One grant in this many goes to the next rank that waits, which thus gets a
 // fifth of the slots.
 constexpr unsigned less_urgent_every = 5;
@@ -22,14 +22,14 @@
 
 token_bucket make_bucket(double per_second)
 {
-    return {per_second, std::max(least_burst, per_second * burst_seconds)};
+    return {per_second, std::max(min_burst, per_second * burst_seconds)};
 }
 
 } // namespace
 
-std::string_view name_of(admission_verdict verdict) noexcept
+std::string_view name_of(admission_decision decision) noexcept
 {
-    return verdict_names[static_cast<std::size_t>(verdict)];
+    return decision_names[static_cast<std::size_t>(decision)];
 }
 
 admission::admission(admission_limits limits)
@@ -57,22 +57,22 @@
     return now + run_or_mean(run) < deadline;
 }
 
-admission_verdict admission::arrive(time_point now, const arriving_call& call)
+admission_decision admission::arrive(time_point now, const arriving_call& call)
 {
     if (!can_finish(now, call.deadline, call.run))
-        return admission_verdict::deadline_too_near;
+        return admission_decision::deadline_too_near;
     if (m_limits.rate_per_s > 0 && !m_rate.take(now))
-        return admission_verdict::rate_exceeded;
+        return admission_decision::rate_exceeded;
     if (m_in_flight < m_limits.in_flight && m_waiting == 0)
     {
         start_one();
-        return admission_verdict::run;
+        return admission_decision::run;
     }
     if (m_waiting >= m_limits.queue ||
         m_limits.queue_wait <= duration::zero() ||
-        expected_wait(call.rank, call.due) > call.most_wait)
-        return admission_verdict::queue_full;
-    return admission_verdict::wait;
+        expected_wait(call.rank, call.due) > call.max_wait)
+        return admission_decision::queue_full;
+    return admission_decision::wait;
 }
 
 void admission::start_one()
--- a/src/routing/call_routes.cpp
+++ b/src/routing/call_routes.cpp
@@ -31,7 +31,7 @@
         return "has a path prefix that does not begin and end with a slash";
     if (route.timeout <= milliseconds::zero())
         return "has no timeout";
-    if (route.most_targets == 0)
+    if (route.max_targets == 0)
         return "allows no target for a call";
     if (route.shares.empty())
         return "names no service";
--- a/src/routing/load_inquiry.cpp
+++ b/src/routing/load_inquiry.cpp
@@ -7,14 +7,14 @@
 namespace
 {
 
-/** Moves at most @p most random elements of @p from to @p into. */
+/** Moves at most @p max_count random elements of @p from to @p into. */
 void add_some(std::vector<std::size_t>& into,
               std::vector<std::size_t> from,
-              std::size_t most,
+              std::size_t max_count,
               random_source& random)
 {
     std::ranges::shuffle(from, random);
-    from.resize(std::min(most, from.size()));
+    from.resize(std::min(max_count, from.size()));
     into.insert(into.end(), from.begin(), from.end());
 }
 
@@ -43,12 +43,12 @@
             asked.push_back(i);
         else
             (owners[i].is_near ? near : far).push_back(i);
-    const auto others = asked.size() + most_near + most_far;
-    add_some(asked, std::move(near), most_near, random);
+    const auto others = asked.size() + max_near + max_far;
+    add_some(asked, std::move(near), max_near, random);
     add_some(asked, std::move(far), others - asked.size(), random);
     if (m_full > mostly_full && !asked.empty())
         asked.resize(random.below(seldom) == 0 ? 1 : 0);
-    std::erase_if(asked, [&](std::size_t) { return !m_questions.take(now); });
+    std::erase_if(asked, [&](std::size_t) { return !m_queries.take(now); });
     return asked;
 }
 
--- a/src/routing/poison_calls.cpp
+++ b/src/routing/poison_calls.cpp
@@ -11,7 +11,7 @@
 // Clocks of hosts may differ by this much, so a successful run also clears a
 // call of crashes that seem this much later. This never clears a call that
 // crashes each target, since it has no successful runs.
-constexpr std::uint64_t clock_slack_ms = 5'000;
+constexpr std::uint64_t clock_tolerance_ms = 5'000;
 
 // Crashes further apart than this belong to different rounds.
 constexpr milliseconds round_gap(2'500);
@@ -29,8 +29,8 @@
 milliseconds quarantine_after(std::size_t rounds)
 {
     // Enough to reach the longest quarantine without overflow of the shift.
-    constexpr std::size_t most_doublings = 10;
-    const auto doublings = std::min(rounds - 1, most_doublings);
+    constexpr std::size_t max_doublings = 10;
+    const auto doublings = std::min(rounds - 1, max_doublings);
     return std::min<milliseconds>(poison_calls::first_quarantine *
                                       (1U << doublings),
                                   poison_calls::longest_quarantine);
@@ -51,7 +51,7 @@
         for (const auto& run : each.record->good_runs)
         {
             auto& until = cleared[run.call];
-            until = std::max(until, run.at_ms + clock_slack_ms);
+            until = std::max(until, run.at_ms + clock_tolerance_ms);
         }
     for (const auto& each : members.ordered())
         for (const auto& crash : each.record->target_crashes)
--- a/src/routing/policy.cpp
+++ b/src/routing/policy.cpp
@@ -13,7 +13,7 @@
 constexpr double failure_weight = 20;
 // A fully loaded owner costs as much as this many calls in flight.
 constexpr double load_weight = 8;
-constexpr double least_warmth = 0.1;
+constexpr double min_warmth = 0.1;
 
 /** @return the relative cost of one more call. */
 double cost_of(const target_stats& target)
@@ -22,7 +22,7 @@
         1 + target.own_in_flight + load_weight * target.owner_load;
     const double time = 1 + target.latency_ms;
     const double failing = 1 + failure_weight * target.recent_failures;
-    return waiting * time * failing / std::max(least_warmth, target.warmth);
+    return waiting * time * failing / std::max(min_warmth, target.warmth);
 }
 
 /** Takes the better of two random candidates (Mitzenmacher, IEEE TPDS 2001). */
@@ -62,16 +62,16 @@
     {
         const auto typical = typical_run(candidates);
         std::size_t best = 0;
-        double least = 0;
+        double min_time = 0;
         for (std::size_t i = 0; i < candidates.size(); ++i)
         {
             // Noise, so that nodes with the same view choose differently.
             const double noise = 1 + choice_noise * random.unit();
             const double time = expected_ms(candidates[i], typical) * noise;
-            if (i != 0 && time >= least)
+            if (i != 0 && time >= min_time)
                 continue;
             best = i;
-            least = time;
+            min_time = time;
         }
         return best;
     }
--- a/src/routing/refusal_cache.cpp
+++ b/src/routing/refusal_cache.cpp
@@ -12,7 +12,7 @@
                             time_point now)
 {
     const auto longest = std::min<duration>(retry_after, longest_pause);
-    const double part = least_part + (1 - least_part) * point;
+    const double part = min_part + (1 - min_part) * point;
     const auto pause = std::chrono::duration_cast<duration>(longest * part);
     m_refusals[work][owner] = {now + pause, pause, retry_after};
 }
--- a/src/routing/service_targets.cpp
+++ b/src/routing/service_targets.cpp
@@ -31,16 +31,16 @@
 {
     const auto* ordered = rollouts.find(service);
     std::string majority;
-    std::size_t most = 0;
+    std::size_t max_count = 0;
     for (const auto& [release, count] : counts)
     {
         const bool is_ordered =
             ordered != nullptr && release == ordered->order.release;
-        if (count > most && !is_ordered &&
+        if (count > max_count && !is_ordered &&
             !rollouts.is_closed(service, release))
         {
             majority = release;
-            most = count;
+            max_count = count;
         }
     }
     return majority;
--- a/src/routing/target_board.cpp
+++ b/src/routing/target_board.cpp
@@ -29,7 +29,7 @@
 constexpr double refusal_share = 0.3;
 // A failure domain whose targets all refuse or fail keeps this share of its
 // weight, so that its recovery is noticed.
-constexpr double least_place_share = 0.1;
+constexpr double min_place_share = 0.1;
 
 // Round-trip times between domains of one region, and between regions.
 constexpr double domain_distance_ms = 4;
@@ -100,7 +100,7 @@
     const auto share =
         static_cast<double>(well) / static_cast<double>(place.targets.size());
     return static_cast<double>(place.limits.weight) *
-           std::max(least_place_share, share);
+           std::max(min_place_share, share);
 }
 
 const place_route* target_board::choose_place(const service_route& route,
@@ -297,23 +297,23 @@
     auto& target = record_of(owner, now);
     if (target.in_flight > 0)
         --target.in_flight;
-    if (call.verdict == call_verdict::unknown)
+    if (call.outcome == target_call_outcome::unknown)
         return;
-    const double failed = call.verdict == call_verdict::failed ? 1 : 0;
+    const double failed = call.outcome == target_call_outcome::failed ? 1 : 0;
     target.failures += (failed - target.failures) * newest_share;
-    const double refused = call.verdict == call_verdict::refused ? 1 : 0;
+    const double refused = call.outcome == target_call_outcome::refused ? 1 : 0;
     target.refusals += (refused - target.refusals) * refusal_share;
-    if (call.verdict == call_verdict::failed)
+    if (call.outcome == target_call_outcome::failed)
         target.failures = std::max(target.failures, aside_share);
     if (call.answer_bytes > 0)
         m_answers.answered(call.work, call.answer_bytes);
-    if (call.verdict == call_verdict::good)
+    if (call.outcome == target_call_outcome::good)
         target.latency_ms +=
             (seconds(call.took) * 1000 - target.latency_ms) * newest_share;
     take_report(target, call.report, now);
     if (call.report.run_ms > 0)
         target.run_ms[call.work] = call.report.run_ms;
-    if (!call.report.load && call.verdict == call_verdict::refused)
+    if (!call.report.load && call.outcome == target_call_outcome::refused)
     {
         target.load = std::max(target.load, 1.0);
         target.reported_at = now;
--- a/src/table/column.cpp
+++ b/src/table/column.cpp
@@ -33,8 +33,8 @@
 error bad_cell(const column& spec, std::string_view text, error_code code)
 {
     std::string remedy = "write a whole number from " +
-                         std::to_string(spec.least) + " to " +
-                         std::to_string(spec.most);
+                         std::to_string(spec.min_value) + " to " +
+                         std::to_string(spec.max_value);
     if (spec.kind == cell_kind::yes_no)
         remedy = "write yes or no";
     return error(code,
@@ -97,7 +97,7 @@
         return bad_cell(spec, text, error_code::out_of_range);
     if (parsed.ec != std::errc() || parsed.ptr != end)
         return bad_cell(spec, text, error_code::bad_syntax);
-    if (value < spec.least || value > spec.most)
+    if (value < spec.min_value || value > spec.max_value)
         return bad_cell(spec, text, error_code::out_of_range);
     edited.*spec.field = value;
     return {};
--- a/src/targets/target_registry.cpp
+++ b/src/targets/target_registry.cpp
@@ -7,29 +7,29 @@
 {
 namespace
 {
-constexpr std::array<std::string_view, 5> verdict_names{
+constexpr std::array<std::string_view, 5> result_names{
     "unchanged", "opened", "changed", "closed", "stale"};
 // Targets report every one or two seconds; one without a report for longer
 // counts as gone.
-constexpr std::chrono::seconds silent_after(5);
+constexpr std::chrono::seconds report_timeout(5);
 } // namespace
 
-std::string_view name_of(report_verdict verdict) noexcept
+std::string_view name_of(report_result result) noexcept
 {
-    return verdict_names[static_cast<std::size_t>(verdict)];
+    return result_names[static_cast<std::size_t>(result)];
 }
 
 bool target_registry::has_departed(const std::string& start) const
 {
-    return std::ranges::find(m_left, start) != m_left.end();
+    return std::ranges::find(m_departed, start) != m_departed.end();
 }
 
 bool target_registry::record_departure(const std::string& start)
 {
     if (!has_departed(start))
-        m_left.push_back(start);
-    if (m_left.size() > most_departures)
-        m_left.erase(m_left.begin());
+        m_departed.push_back(start);
+    if (m_departed.size() > max_departures)
+        m_departed.erase(m_departed.begin());
     const bool is_current = m_current && m_current->start() == start;
     const bool was_used = in_use() != nullptr && is_current;
     if (is_current)
@@ -37,18 +37,18 @@
     return was_used;
 }
 
-report_verdict target_registry::take_leaving(const target_report& report)
+report_result target_registry::take_leaving(const target_report& report)
 {
     // A departure that does not identify its start means the current one.
     const bool has_no_start =
-        report.born_ms == 0 && m_current && m_current->id == report.id;
+        report.started_ms == 0 && m_current && m_current->id == report.id;
     const auto start = has_no_start ? m_current->start() : report.start();
     auto& sequence = m_sequences[start];
     sequence = std::max(sequence, report.sequence);
     const bool known = has_departed(start);
     if (record_departure(start))
-        return report_verdict::closed;
-    return known ? report_verdict::unchanged : report_verdict::closed;
+        return report_result::closed;
+    return known ? report_result::unchanged : report_result::closed;
 }
 
 bool target_registry::is_outdated(const target_report& report,
@@ -57,12 +57,11 @@
     // A clock that was set back can make a later start seem the earlier one: it
     // takes over once the other has stopped reporting.
     return m_current && m_current->id == report.id &&
-           report.born_ms < m_current->born_ms &&
-           now < m_last_report_at + silent_after;
+           report.started_ms < m_current->started_ms &&
+           now < m_last_report_at + report_timeout;
 }
 
-report_verdict target_registry::take(const target_report& report,
-                                     time_point now)
+report_result target_registry::take(const target_report& report, time_point now)
 {
     // A departure is final, however late its report arrives.
     if (report.state != report_state::ready)
@@ -71,7 +70,7 @@
     const auto seen = m_sequences.find(start);
     if (has_departed(start) || is_outdated(report, now) ||
         (seen != m_sequences.end() && report.sequence <= seen->second))
-        return report_verdict::stale;
+        return report_result::stale;
     m_sequences[start] = report.sequence;
     const bool was_open = in_use() != nullptr;
     const bool same = m_current && m_current->start() == start &&
@@ -82,10 +81,10 @@
     m_last_report_at = now;
     m_cold_until = now + report.cold_for;
     if (!m_departures_known)
-        return report_verdict::unchanged;
+        return report_result::unchanged;
     if (!was_open)
-        return report_verdict::opened;
-    return same ? report_verdict::unchanged : report_verdict::changed;
+        return report_result::opened;
+    return same ? report_result::unchanged : report_result::changed;
 }
 
 const target_report* target_registry::in_use() const noexcept
--- a/standins/platform/platform_state.cpp
+++ b/standins/platform/platform_state.cpp
@@ -194,9 +194,9 @@
 
 void platform_state::set_hosts(const std::string& body)
 {
-    constexpr std::size_t most_snapshots = 1000;
+    constexpr std::size_t max_snapshots = 1000;
     m_hosts.push_back({steady_clock::now(), body});
-    if (m_hosts.size() > most_snapshots)
+    if (m_hosts.size() > max_snapshots)
         m_hosts.pop_front();
 }
 
--- a/standins/target/target_standin.cpp
+++ b/standins/target/target_standin.cpp
@@ -55,9 +55,9 @@
 constexpr std::array count_table{
     count_entry{"runs", &target_counts::runs},
     count_entry{"running", &target_counts::running},
-    count_entry{"most_running", &target_counts::most_running},
+    count_entry{"most_running", &target_counts::max_running},
     count_entry{"open", &target_counts::open},
-    count_entry{"most_open", &target_counts::most_open},
+    count_entry{"most_open", &target_counts::max_open},
     count_entry{"shed", &target_counts::shed},
     count_entry{"cancelled", &target_counts::cancelled},
     count_entry{"deadline_passed", &target_counts::deadline_passed},
@@ -114,12 +114,12 @@
 
 void target_standin::sample()
 {
-    constexpr std::size_t most_samples = 3000;
+    constexpr std::size_t max_samples = 3000;
     while (true)
     {
         m_samples.push_back(
             {steady_clock::now(), m_behaviour.drain != 0, m_counts.running});
-        if (m_samples.size() > most_samples)
+        if (m_samples.size() > max_samples)
             m_samples.pop_front();
         sleep_for(m_worker.io(), sample_interval);
     }
@@ -193,7 +193,7 @@
 void target_standin::serve(tcp_stream& stream)
 {
     ++m_counts.open;
-    m_counts.most_open = std::max(m_counts.most_open, m_counts.open);
+    m_counts.max_open = std::max(m_counts.max_open, m_counts.open);
     boost::beast::flat_buffer buffer;
     bool keep_alive = true;
     while (keep_alive)
@@ -226,7 +226,7 @@
         return;
     }
     ++m_counts.running;
-    m_counts.most_running = std::max(m_counts.most_running, m_counts.running);
+    m_counts.max_running = std::max(m_counts.max_running, m_counts.running);
     run_call(call);
     --m_counts.running;
 }
--- a/standins/target/target_standin.hpp
+++ b/standins/target/target_standin.hpp
@@ -38,9 +38,9 @@
 {
     std::int64_t runs = 0;
     std::int64_t running = 0;
-    std::int64_t most_running = 0;
+    std::int64_t max_running = 0;
     std::int64_t open = 0;
-    std::int64_t most_open = 0;
+    std::int64_t max_open = 0;
     std::int64_t shed = 0;
     std::int64_t cancelled = 0;
     std::int64_t deadline_passed = 0;
--- a/tests/integration/distribution.cpp
+++ b/tests/integration/distribution.cpp
@@ -216,7 +216,7 @@
                         write_csv(old_table)}));
             // The next version with a wrong digest is corrupt.
             CHECK(push({3, "00", "", 0, std::nullopt, write_csv(old_table)}));
-            // A version far ahead is held, not applied.
+            // A version far ahead waits and is not applied.
             CHECK(push({9, "00", "00", 0, table_delta{}, std::nullopt}));
             const auto status = system.status(3);
             CHECK(number(status, "version") == 2);
--- a/tests/platform/decoders.cpp
+++ b/tests/platform/decoders.cpp
@@ -63,7 +63,7 @@
     CHECK(once->timeout == milliseconds(1500));
     CHECK(once->objective == milliseconds(500));
     CHECK(once->rank == 1);
-    CHECK(once->most_targets == 2);
+    CHECK(once->max_targets == 2);
     const auto* split = (*routes)->find("b.example", "/anything");
     REQUIRE(split != nullptr);
     CHECK(split->kind == call_kind::repeatable);
@@ -273,7 +273,7 @@
     stored_rollout_state stored;
     stored.release = "v2";
     stored.state = rollout_state::rolled_back;
-    stored.begun_ms = 1'700'000'000'000;
+    stored.started_at_ms = 1'700'000'000'000;
     stored_row row;
     row.value = rows.encode_state("s1", stored);
     row.revision = 4;
@@ -281,11 +281,11 @@
     REQUIRE(read);
     CHECK(read->release == "v2");
     CHECK(read->state == rollout_state::rolled_back);
-    CHECK(read->begun_ms == stored.begun_ms);
+    CHECK(read->started_at_ms == stored.started_at_ms);
     CHECK(read->revision == 4);
     row.value = R"({"targetVersion":"v2","state":"completed"})";
     REQUIRE(rows.decode_state(row));
-    CHECK(rows.decode_state(row)->begun_ms == 0);
+    CHECK(rows.decode_state(row)->started_at_ms == 0);
     for (const auto* bad : {"", "[]", R"({"state":"running"})",
                             R"({"targetVersion":"v2","state":"odd"})"})
     {
@@ -364,7 +364,7 @@
     auto read = platform::decode_report(
         report_request("/instances/i-7/heartbeat", json::serialize(report)));
     REQUIRE((read && *read));
-    CHECK((*read)->born_ms == 1'700'000'000'123);
+    CHECK((*read)->started_ms == 1'700'000'000'123);
     CHECK((*read)->start() == "i-7@1700000000123");
     report["born"] = "long ago";
     read = platform::decode_report(
@@ -375,5 +375,5 @@
         report_request("/instances/i-7/deregister", R"({"born":5})"));
     REQUIRE((read && *read));
     CHECK((*read)->state == report_state::leaving);
-    CHECK((*read)->born_ms == 5);
+    CHECK((*read)->started_ms == 5);
 }
--- a/tests/support/mesh_system.hpp
+++ b/tests/support/mesh_system.hpp
@@ -40,7 +40,7 @@
     std::string service;
     std::string kind = "safe";
     int timeout_ms = 3000;
-    int most_targets = 2;
+    int max_targets = 2;
 };
 
 /** @return the configuration's row; the host of all routes is shop.example. */
@@ -59,7 +59,7 @@
                                 {"targetLatency", 1000},
                                 {"priority", 1},
                                 {"service", each.service},
-                                {"maxAttempts", each.most_targets}});
+                                {"maxAttempts", each.max_targets}});
         names.insert(each.service);
     }
     boost::json::array services;
--- a/tests/unit/call_routes.cpp
+++ b/tests/unit/call_routes.cpp
@@ -45,10 +45,10 @@
     return best;
 }
 
-std::string random_path(int most_parts)
+std::string random_path(int max_parts)
 {
     std::string path = "/";
-    const auto parts = *rc::gen::inRange(0, most_parts);
+    const auto parts = *rc::gen::inRange(0, max_parts);
     for (int i = 0; i < parts; ++i)
         path +=
             std::string(1, static_cast<char>('a' + *rc::gen::inRange(0, 3))) +
@@ -107,7 +107,7 @@
         {"prefix without end", [](call_route& r) { r.path_prefix = "/x"; }},
         {"prefix without begin", [](call_route& r) { r.path_prefix = "x/"; }},
         {"no timeout", [](call_route& r) { r.timeout = milliseconds(0); }},
-        {"no target", [](call_route& r) { r.most_targets = 0; }},
+        {"no target", [](call_route& r) { r.max_targets = 0; }},
         {"no service", [](call_route& r) { r.shares.clear(); }},
         {"no weight",
          [](call_route& r) {
@@ -160,7 +160,7 @@
     objectives_in_use seen;
     CHECK(seen.longest() == milliseconds(0));
     for (int i = 0; i < 90; ++i)
-        seen.saw(milliseconds(i % 3 == 0 ? 250 : 60));
+        seen.count_call(milliseconds(i % 3 == 0 ? 250 : 60));
     CHECK(seen.longest() == milliseconds(250));
     CHECK(seen.is_short(milliseconds(60)));
     CHECK_FALSE(seen.is_short(milliseconds(150)));
@@ -170,11 +170,11 @@
 {
     objectives_in_use seen;
     for (int i = 0; i < 5'000; ++i)
-        seen.saw(milliseconds(i % 100 == 0 ? 1'000 : 250));
+        seen.count_call(milliseconds(i % 100 == 0 ? 1'000 : 250));
     CHECK(seen.longest() == milliseconds(250));
     CHECK_FALSE(seen.is_short(milliseconds(250)));
     // With more calls it counts, and older calls lose weight.
     for (int i = 0; i < 5'000; ++i)
-        seen.saw(milliseconds(1'000));
+        seen.count_call(milliseconds(1'000));
     CHECK(seen.is_short(milliseconds(250)));
 }
--- a/tests/unit/cold_rate_limiter.cpp
+++ b/tests/unit/cold_rate_limiter.cpp
@@ -18,16 +18,16 @@
 const time_point started{std::chrono::hours(1)};
 
 /** @return the largest number of @p sent within a second. */
-std::size_t most_in_a_second(const std::vector<time_point>& sent)
+std::size_t max_in_a_second(const std::vector<time_point>& sent)
 {
-    std::size_t most = 0;
+    std::size_t max_count = 0;
     for (std::size_t first = 0, last = 0; last < sent.size(); ++last)
     {
         while (sent[first] + cold_rate_limiter::window <= sent[last])
             ++first;
-        most = std::max(most, last - first + 1);
+        max_count = std::max(max_count, last - first + 1);
     }
-    return most;
+    return max_count;
 }
 
 } // namespace
@@ -50,8 +50,7 @@
                      limiter.sent(now);
                      sent.push_back(now);
                  }
-                 RC_ASSERT(static_cast<double>(most_in_a_second(sent)) <=
-                           per_s);
+                 RC_ASSERT(static_cast<double>(max_in_a_second(sent)) <= per_s);
              });
 }
 
--- a/tests/unit/first_calls.cpp
+++ b/tests/unit/first_calls.cpp
@@ -84,18 +84,18 @@
     {
         ++m_seen.calls;
         const auto due = at() + work.objective;
-        const auto verdict = m_admission.arrive(
+        const auto decision = m_admission.arrive(
             at(), {.deadline = at() + std::chrono::seconds(2),
                    .rank = work.rank,
                    .due = due,
-                   .most_wait = work.objective / 16,
+                   .max_wait = work.objective / 16,
                    .run = expected()});
-        if (verdict != admission_verdict::run &&
-            verdict != admission_verdict::wait)
+        if (decision != admission_decision::run &&
+            decision != admission_decision::wait)
             return;
         auto& made = m_calls.emplace_back();
         made.arrived_at = m_now;
-        if (verdict == admission_verdict::run)
+        if (decision == admission_decision::run)
             return start(made);
         made.waiter.rank = work.rank;
         made.waiter.deadline = at() + std::chrono::seconds(2);
--- a/tests/unit/fleet_retry_budget.cpp
+++ b/tests/unit/fleet_retry_budget.cpp
@@ -86,7 +86,7 @@
         shedder.ran(true, now);
         shedder.call_failed(true, now);
     }
-    CHECK(shedder.share(now) == failure_shedder::most_shed);
+    CHECK(shedder.share(now) == failure_shedder::max_shed);
     CHECK(shedder.sheds(0.4, now));
     CHECK_FALSE(shedder.sheds(0.6, now));
     for (int i = 0; i < 1000; ++i)
--- a/tests/unit/generators.hpp
+++ b/tests/unit/generators.hpp
@@ -24,8 +24,10 @@
                 made.key.place = "p" + std::to_string(*gen::inRange(0, 3));
                 for (const auto& each : tillerhall::columns())
                     made.*each.field = *gen::inRange<std::int64_t>(
-                        each.least,
-                        std::min<std::int64_t>(each.most, each.least + 4) + 1);
+                        each.min_value,
+                        std::min<std::int64_t>(each.max_value,
+                                               each.min_value + 4) +
+                            1);
                 return made;
             });
     }
--- a/tests/unit/limits.cpp
+++ b/tests/unit/limits.cpp
@@ -87,7 +87,7 @@
                          retries += budget.take() ? 1 : 0;
                      const auto calls = static_cast<double>(i + 1);
                      RC_ASSERT(retries <=
-                               calls * 0.1 + retry_budget::most_saved);
+                               calls * 0.1 + retry_budget::max_saved);
                  }
              });
 }
@@ -110,11 +110,11 @@
         now += milliseconds(1);
         if (arrives)
         {
-            const auto verdict =
+            const auto decision =
                 limiter.arrive(now, {.deadline = now + seconds(10)});
-            if (verdict == admission_verdict::run)
+            if (decision == admission_decision::run)
                 ++running;
-            if (verdict == admission_verdict::wait)
+            if (decision == admission_decision::wait)
             {
                 auto& waiter = waiting.emplace_back();
                 waiter.caller = "c" + std::to_string(caller % 3);
@@ -152,7 +152,7 @@
     admission limiter({1, 100, seconds(10), 0});
     const auto now = steady_clock::now();
     CHECK(limiter.arrive(now, {.deadline = now + seconds(9)}) ==
-          admission_verdict::run);
+          admission_decision::run);
     std::list<admission_waiter> waiting;
     std::vector<std::string> served;
     const auto wait_as = [&](const std::string& caller)
@@ -182,9 +182,9 @@
         limiter.leave(now, milliseconds(100));
     }
     CHECK(limiter.arrive(now, {.deadline = now + milliseconds(20)}) ==
-          admission_verdict::deadline_too_near);
+          admission_decision::deadline_too_near);
     CHECK(limiter.arrive(now, {.deadline = now + milliseconds(500)}) ==
-          admission_verdict::run);
+          admission_decision::run);
 }
 
 TEST_CASE("new limits do not affect running calls")
@@ -193,16 +193,16 @@
     const auto now = steady_clock::now();
     for (int i = 0; i < 4; ++i)
         CHECK(limiter.arrive(now, {.deadline = now + seconds(9)}) ==
-              admission_verdict::run);
+              admission_decision::run);
     limiter.set_limits({1, 0, seconds(1), 0});
     CHECK(limiter.in_flight() == 4);
     for (int i = 0; i < 3; ++i)
         limiter.leave(now, milliseconds(1));
     CHECK(limiter.arrive(now, {.deadline = now + seconds(9)}) ==
-          admission_verdict::queue_full);
+          admission_decision::queue_full);
     limiter.leave(now, milliseconds(1));
     CHECK(limiter.arrive(now, {.deadline = now + seconds(9)}) ==
-          admission_verdict::run);
+          admission_decision::run);
 }
 
 TEST_CASE("calls above the rate limit are refused")
@@ -210,12 +210,12 @@
     admission limiter({100, 0, seconds(1), 10});
     const auto now = steady_clock::now();
     CHECK(limiter.arrive(now, {.deadline = now + seconds(9)}) ==
-          admission_verdict::run);
+          admission_decision::run);
     CHECK(limiter.arrive(now, {.deadline = now + seconds(9)}) ==
-          admission_verdict::rate_exceeded);
+          admission_decision::rate_exceeded);
     CHECK(limiter.arrive(now + milliseconds(150),
                          {.deadline = now + seconds(9)}) ==
-          admission_verdict::run);
+          admission_decision::run);
 }
 
 namespace
@@ -287,12 +287,12 @@
         queue.limiter.arrive(queue.now, {.deadline = queue.now + seconds(9)});
     }
     CHECK(queue.limiter.arrive(queue.now, {.deadline = queue.now + seconds(9),
-                                           .most_wait = milliseconds(150)}) ==
-          admission_verdict::wait);
+                                           .max_wait = milliseconds(150)}) ==
+          admission_decision::wait);
     queue.add(0, milliseconds(100));
     CHECK(queue.limiter.arrive(queue.now, {.deadline = queue.now + seconds(9),
-                                           .most_wait = milliseconds(150)}) ==
-          admission_verdict::queue_full);
+                                           .max_wait = milliseconds(150)}) ==
+          admission_decision::queue_full);
     queue.waiters.clear();
 }
 
--- a/tests/unit/link_schedule.cpp
+++ b/tests/unit/link_schedule.cpp
@@ -130,9 +130,9 @@
         const auto waiting =
             link.schedule.time_of((9 - link.order.size()) * answer);
         CHECK(link.schedule.backlog(at) - waiting <=
-              each + link_schedule::most_ahead);
+              each + link_schedule::max_ahead);
         if (link.order.size() > seen)
-            sum += at - now + link_schedule::most_ahead + each;
+            sum += at - now + link_schedule::max_ahead + each;
         seen = link.order.size();
     }
     CHECK(seen == 9);
@@ -206,7 +206,7 @@
     const auto arrived = [&](const download& call)
     {
         const auto took =
-            now + link_schedule::most_ahead + link.time_of(answer) - call.first;
+            now + link_schedule::max_ahead + link.time_of(answer) - call.first;
         ++(took <= objective ? seen.in_time
            : took <= budget  ? seen.late
                              : seen.refused);
--- a/tests/unit/load_inquiry.cpp
+++ b/tests/unit/load_inquiry.cpp
@@ -110,8 +110,8 @@
     for (int ms = 0; ms < 10'000; ++ms) // a thousand calls a second
         asked += inquiry.owners_to_ask(all, 0, start + milliseconds(ms), random)
                      .size();
-    CHECK(asked <= 10 * load_inquiry::questions_per_s +
-                       load_inquiry::question_burst + 1);
+    CHECK(asked <=
+          10 * load_inquiry::queries_per_s + load_inquiry::query_burst + 1);
 }
 
 namespace
@@ -199,7 +199,7 @@
             ends.erase(ends.begin());
             --state[done.owner].running;
             done.entry->board.ended(done.owner,
-                                    {call_verdict::good, done.took,
+                                    {target_call_outcome::good, done.took,
                                      report_of(done.owner), work, 100},
                                     at);
         }
@@ -237,7 +237,7 @@
         {
             refused += counts ? 1 : 0;
             entry.board.ended(owner->rpc,
-                              {call_verdict::refused, milliseconds(3),
+                              {target_call_outcome::refused, milliseconds(3),
                                report_of(owner->rpc), work, 0},
                               now);
             continue;
--- a/tests/unit/membership.cpp
+++ b/tests/unit/membership.cpp
@@ -228,10 +228,10 @@
     member before;
     before.rpc = {"127.0.0.1", 7};
     before.incarnation = 5;
-    before.left_targets = {"t1", "t2"};
+    before.departed_targets = {"t1", "t2"};
     member after = before;
     after.incarnation = 90;
-    after.left_targets = {"t3"};
+    after.departed_targets = {"t3"};
     member other;
     other.rpc = {"127.0.0.1", 8};
 
@@ -239,12 +239,12 @@
     peer.merge(before);
     peer.merge(after);
     const std::vector<std::string> all{"t1", "t2", "t3"};
-    CHECK(peer.find(after.rpc)->left_targets == all);
+    CHECK(peer.find(after.rpc)->departed_targets == all);
 
     // The new boot learns of them from an older record of its own.
     member_list own(after);
     CHECK(own.merge(before) == merge_result::changed);
-    CHECK(own.self().left_targets == all);
+    CHECK(own.self().departed_targets == all);
     CHECK(own.self().incarnation > after.incarnation);
     CHECK(own.merge(before) == merge_result::unchanged);
     CHECK(own.merge(*peer.find(after.rpc)) == merge_result::unchanged);
@@ -256,7 +256,7 @@
     sent.rpc = sent.peer = sent.caller = sent.operators = {"127.0.0.1", 7};
     sent.target = {"127.0.0.1", 9};
     sent.target_id = "t9";
-    sent.left_targets = {"t1", "t2"};
+    sent.departed_targets = {"t1", "t2"};
     const auto read = member_from_json(to_json(sent));
     REQUIRE(read);
     CHECK(*read == sent);
--- a/tests/unit/quotas.cpp
+++ b/tests/unit/quotas.cpp
@@ -89,7 +89,7 @@
     void cut_off(std::size_t index) { m_entries[index].is_cut_off = true; }
 
     /** @return the most calls admitted in a window, from step @p first on. */
-    double most_admitted(int first = 0) const
+    double max_admitted(int first = 0) const
     {
         double greatest = 0;
         double sum = 0;
@@ -248,8 +248,7 @@
                 mesh.run(1'500, rate * 6, skew);
                 mesh.run(600, rate * 0.6, skew);
                 CAPTURE(entries, rate, seed);
-                CHECK(mesh.most_admitted() <=
-                      simulated_mesh::limit_of(account));
+                CHECK(mesh.max_admitted() <= simulated_mesh::limit_of(account));
                 // At least nine tenths of the quota are used meanwhile.
                 CHECK(mesh.admitted_calls() >= rate * 0.9 * 15);
             }
@@ -277,7 +276,7 @@
         mesh.run(400, 600);
         mesh.restart_ledger(seed % 4);
         mesh.run(800, 600);
-        CHECK(mesh.most_admitted() <= simulated_mesh::limit_of(account));
+        CHECK(mesh.max_admitted() <= simulated_mesh::limit_of(account));
     }
 }
 
@@ -292,7 +291,7 @@
             mesh.cut_off(i);
         mesh.run(300, 60);
         mesh.run(1'200, 600);
-        CHECK(mesh.most_admitted() <= simulated_mesh::limit_of(account));
+        CHECK(mesh.max_admitted() <= simulated_mesh::limit_of(account));
     }
 }
 
@@ -303,7 +302,7 @@
     const auto lower = account_of(50, 50);
     mesh.change_quota(lower);
     mesh.run(1'500, 800);
-    CHECK(mesh.most_admitted(1'000 + window_steps) <=
+    CHECK(mesh.max_admitted(1'000 + window_steps) <=
           simulated_mesh::limit_of(lower));
 }
 
--- a/tests/unit/refusal_cache.cpp
+++ b/tests/unit/refusal_cache.cpp
@@ -54,8 +54,8 @@
         ++counts.asked;
         auto& at = m_owners[owner];
         if (at.arrive(now, {.deadline = now + std::chrono::seconds(5),
-                            .most_wait = duration::zero(),
-                            .run = run}) != admission_verdict::run)
+                            .max_wait = duration::zero(),
+                            .run = run}) != admission_decision::run)
             return false;
         m_ends[owner].push_back(now + run);
         ++counts.ran;
@@ -129,7 +129,7 @@
 load_counts simulate(bool with_cache)
 {
     constexpr int entries = 13;
-    constexpr int most_tries = 5;
+    constexpr int max_tries = 5;
     slow_service service;
     std::vector<entry> nodes(entries);
     random_source random(7);
@@ -147,7 +147,7 @@
             tries.pop_front();
             auto& node = nodes[random.below(entries)];
             if (!node.route(service, with_cache, random, now) &&
-                before + 1 < most_tries)
+                before + 1 < max_tries)
                 tries.push_back(before + 1);
         }
     }
--- a/tests/unit/rollout_judge.cpp
+++ b/tests/unit/rollout_judge.cpp
@@ -83,16 +83,15 @@
 TEST_CASE("a release of which a third fails has few bad runs until found")
 {
     // Includes the bad runs of a report in transit.
-    unsigned most_bad = 0;
+    unsigned max_bad = 0;
     for (std::uint64_t seed = 1; seed <= simulations; ++seed)
     {
         simulated_service service(seed, similar_targets(24),
                                   similar_targets(3, {.failing = 0.36}));
-        most_bad =
-            std::max(most_bad,
-                     service.run(stable_runs_per_s, canary_runs_per_s, 12).bad);
+        max_bad = std::max(
+            max_bad, service.run(stable_runs_per_s, canary_runs_per_s, 12).bad);
     }
-    CHECK(most_bad < 60);
+    CHECK(max_bad < 60);
 }
 
 TEST_CASE("a fault of both releases does not make the canary bad")
@@ -243,7 +242,7 @@
     known.state = rollout_state::running;
     rollout_progress progress;
     progress.evidence = {1'000, 1'000, true, true};
-    progress.canary_targets = 32;
+    progress.live_canary_targets = 32;
     progress.stable_targets = 32;
     double canary_share_s = 0;
     auto at = start;
@@ -278,13 +277,13 @@
     known.state = rollout_state::running;
     rollout_progress progress;
     progress.stage_begun = start;
-    progress.canary_targets = 3;
+    progress.live_canary_targets = 3;
     progress.evidence = {10, 10, true, true};
     CHECK(next_move(known, progress, start + milliseconds(10'000)) ==
           rollout_move::wait);
     CHECK(next_move(known, progress, start + milliseconds(15'500)) ==
           rollout_move::give_up);
-    progress.canary_targets = 0;
+    progress.live_canary_targets = 0;
     CHECK(next_move(known, progress, start + milliseconds(10'000)) ==
           rollout_move::wait);
     CHECK(next_move(known, progress, start + milliseconds(15'500)) ==
@@ -300,7 +299,7 @@
     known.stage = rollout_stage::loaded;
     rollout_progress progress;
     progress.stage_begun = start;
-    progress.canary_targets = 3;
+    progress.live_canary_targets = 3;
     progress.stable_targets = 32;
     progress.evidence = {1'000, 1'000, true, false};
     CHECK(next_move(known, progress, start + milliseconds(10'000)) ==
--- a/tests/unit/routing.cpp
+++ b/tests/unit/routing.cpp
@@ -106,7 +106,7 @@
             const address node{"127.0.0.1", port};
             board.started(node);
             board.ended(node,
-                        {call_verdict::good,
+                        {target_call_outcome::good,
                          milliseconds(node == slow ? 100 : 2),
                          {},
                          {}},
@@ -120,7 +120,8 @@
     for (std::uint16_t port = 1; port <= 5; port += 2)
         for (int i = 0; i < 50; ++i)
             board.ended({"127.0.0.1", port},
-                        {call_verdict::failed, milliseconds(1), {}, {}}, now);
+                        {target_call_outcome::failed, milliseconds(1), {}, {}},
+                        now);
     CHECK(board.choose(routes, "s", {}, now));
 }
 
@@ -132,7 +133,8 @@
     const auto fill = [&](std::uint16_t port, double load)
     {
         board.ended({"127.0.0.1", port},
-                    {call_verdict::refused, milliseconds(1), {load}, {}}, now);
+                    {target_call_outcome::refused, milliseconds(1), {load}, {}},
+                    now);
     };
     CHECK(board.has_room(routes, "s", {}, now));
     for (std::uint16_t port = 1; port <= 6; ++port)
@@ -165,7 +167,8 @@
         report.slots = 13;
         report.run_ms = ms;
         board.started(owner);
-        board.ended(owner, {call_verdict::good, milliseconds(20), report, work},
+        board.ended(owner,
+                    {target_call_outcome::good, milliseconds(20), report, work},
                     now);
     };
     // The first target gets the short lookups, but its bookings take longer.
@@ -205,10 +208,10 @@
         report.slots = 13;
         report.run_ms = ms;
         board.started(owner);
-        board.ended(
-            owner,
-            {call_verdict::good, milliseconds(20), report, work, answer_bytes},
-            now);
+        board.ended(owner,
+                    {target_call_outcome::good, milliseconds(20), report, work,
+                     answer_bytes},
+                    now);
     };
     // The near target takes longer: that is worth the distance for a small
     // answer, but not for a large one.
--- a/tests/unit/simulated_crashes.cpp
+++ b/tests/unit/simulated_crashes.cpp
@@ -60,7 +60,7 @@
     static constexpr int down_steps = 250;
     static constexpr int update_steps = 3;
     static constexpr int warm_steps = 400;
-    static constexpr std::size_t most_attempts = 2;
+    static constexpr std::size_t max_attempts = 2;
     static constexpr const char* poison_call = "ending";
 
     struct run
@@ -210,7 +210,7 @@
         for (auto each : gone.runs)
         {
             each.crashed_at.push_back(owner);
-            if (each.crashed_at.size() < most_attempts ||
+            if (each.crashed_at.size() < max_attempts ||
                 m_view->quarantine_of(each.call, each.crashed_at, clock()))
                 send(each.call, each.crashed_at);
         }
@@ -231,7 +231,7 @@
     "in 1,000 simulations the poison call is quarantined and few others are")
 {
     int crashes = 0;
-    int most_crashes = 0;
+    int max_crashes = 0;
     std::size_t calls = 0;
     std::size_t quarantined = 0;
     int popular_quarantined = 0;
@@ -240,15 +240,14 @@
         simulated_service simulation(seed);
         simulation.play(900);
         crashes += simulation.crashes_under_the_call;
-        most_crashes =
-            std::max(most_crashes, simulation.crashes_under_the_call);
+        max_crashes = std::max(max_crashes, simulation.crashes_under_the_call);
         calls += static_cast<std::size_t>(simulation.innocent_calls);
         quarantined += simulation.innocents_quarantined.size();
         popular_quarantined += simulation.popular_quarantined;
     }
-    CAPTURE(crashes, most_crashes, calls, quarantined, popular_quarantined);
+    CAPTURE(crashes, max_crashes, calls, quarantined, popular_quarantined);
     // Two of its attempts may run at once, and each may crash two targets.
-    CHECK(most_crashes <= 4);
+    CHECK(max_crashes <= 4);
     // Calls that are made once are not retried here, so this only shows that
     // first attempts are admitted.
     CHECK(quarantined == 0);
--- a/tests/unit/target_registry.cpp
+++ b/tests/unit/target_registry.cpp
@@ -22,7 +22,7 @@
     return report;
 }
 
-target_registry open_register()
+target_registry open_registry()
 {
     target_registry targets;
     targets.set_departures_known();
@@ -88,20 +88,20 @@
 
 TEST_CASE("reports of one start are ordered by their sequence")
 {
-    auto targets = open_register();
+    auto targets = open_registry();
     CHECK(targets.take(report_of("a", report_state::ready, 5), {}) ==
-          report_verdict::opened);
+          report_result::opened);
     CHECK(targets.take(report_of("a", report_state::ready, 4), {}) ==
-          report_verdict::stale);
+          report_result::stale);
     CHECK(targets.take(report_of("a", report_state::ready, 5), {}) ==
-          report_verdict::stale);
+          report_result::stale);
     CHECK(targets.take(report_of("a", report_state::ready, 6), {}) ==
-          report_verdict::unchanged);
+          report_result::unchanged);
 }
 
 TEST_CASE("a late report of an earlier start does not replace the newer one")
 {
-    auto targets = open_register();
+    auto targets = open_registry();
     targets.take(report_of("old", report_state::ready, 7), {});
     targets.take(report_of("new", report_state::ready, 1), {});
     CHECK(targets.in_use()->id == "new");
@@ -113,23 +113,23 @@
 
 TEST_CASE("the departure of an old start does not close the new one")
 {
-    auto targets = open_register();
+    auto targets = open_registry();
     targets.take(report_of("old", report_state::ready, 1), {});
     targets.take(report_of("new", report_state::ready, 1), {});
     targets.take(report_of("old", report_state::leaving, 0), {});
     REQUIRE(targets.in_use() != nullptr);
     CHECK(targets.in_use()->id == "new");
     CHECK(targets.take(report_of("new", report_state::draining, 2), {}) ==
-          report_verdict::closed);
+          report_result::closed);
     CHECK(targets.in_use() == nullptr);
 }
 
 TEST_CASE("only the newest departure records are kept")
 {
-    auto targets = open_register();
+    auto targets = open_registry();
     for (int i = 0; i < 50; ++i)
         targets.record_departure("t" + std::to_string(i));
-    CHECK(targets.departed().size() == target_registry::most_departures);
+    CHECK(targets.departed().size() == target_registry::max_departures);
     CHECK(targets.has_departed("t49"));
 }
 
@@ -137,70 +137,68 @@
 {
     // Its sequence restarts, and a departure of the earlier start is not its
     // own.
-    auto targets = open_register();
+    auto targets = open_registry();
     const auto report =
         [](std::uint64_t born, report_state state, std::uint64_t sequence)
     {
         auto made = report_of("t", state, sequence);
-        made.born_ms = born;
+        made.started_ms = born;
         return made;
     };
     const time_point now{std::chrono::hours(1)};
     using enum report_state;
-    CHECK(targets.take(report(1'000, ready, 50), now) ==
-          report_verdict::opened);
-    CHECK(targets.take(report(2'000, ready, 1), now) ==
-          report_verdict::changed);
-    CHECK(targets.in_use()->born_ms == 2'000);
+    CHECK(targets.take(report(1'000, ready, 50), now) == report_result::opened);
+    CHECK(targets.take(report(2'000, ready, 1), now) == report_result::changed);
+    CHECK(targets.in_use()->started_ms == 2'000);
     // Late reports of the earlier start have no effect.
-    CHECK(targets.take(report(1'000, ready, 51), now) == report_verdict::stale);
+    CHECK(targets.take(report(1'000, ready, 51), now) == report_result::stale);
     targets.take(report(1'000, draining, 52), now);
     REQUIRE(targets.in_use() != nullptr);
-    CHECK(targets.in_use()->born_ms == 2'000);
+    CHECK(targets.in_use()->started_ms == 2'000);
     CHECK(targets.take(report(2'000, draining, 2), now) ==
-          report_verdict::closed);
+          report_result::closed);
     CHECK(targets.in_use() == nullptr);
-    CHECK(targets.take(report(2'000, ready, 3), now) == report_verdict::stale);
-    CHECK(targets.take(report(3'000, ready, 1), now) == report_verdict::opened);
+    CHECK(targets.take(report(2'000, ready, 3), now) == report_result::stale);
+    CHECK(targets.take(report(3'000, ready, 1), now) == report_result::opened);
     // Departure records apply to their start only, also after a restart.
     target_registry again;
     for (const auto& each : targets.departed())
         again.record_departure(each);
     again.set_departures_known();
-    CHECK(again.take(report(2'000, ready, 9), now) == report_verdict::stale);
-    CHECK(again.take(report(3'000, ready, 2), now) == report_verdict::opened);
+    CHECK(again.take(report(2'000, ready, 9), now) == report_result::stale);
+    CHECK(again.take(report(3'000, ready, 2), now) == report_result::opened);
 }
 
 TEST_CASE(
     "a start whose clock was set back is used once the other stops reporting")
 {
-    auto targets = open_register();
+    auto targets = open_registry();
     auto report = report_of("t", report_state::ready, 50);
-    report.born_ms = 9'000;
+    report.started_ms = 9'000;
     const time_point now{std::chrono::hours(1)};
     targets.take(report, now);
-    report.born_ms = 4'000;
+    report.started_ms = 4'000;
     report.sequence = 1;
     CHECK(targets.take(report, now + std::chrono::seconds(1)) ==
-          report_verdict::stale);
+          report_result::stale);
     CHECK(targets.take(report, now + std::chrono::seconds(6)) ==
-          report_verdict::changed);
+          report_result::changed);
 }
 
 TEST_CASE("a departure report without a start time means the current start")
 {
-    auto targets = open_register();
+    auto targets = open_registry();
     auto report = report_of("t", report_state::ready, 1);
-    report.born_ms = 1'000;
+    report.started_ms = 1'000;
     targets.take(report, {});
     CHECK(targets.take(report_of("t", report_state::leaving, 0), {}) ==
-          report_verdict::closed);
+          report_result::closed);
     CHECK(targets.in_use() == nullptr);
 }
 
 TEST_CASE("a target is taken for cold until its next report")
 {
-    auto targets = open_register();
+    auto targets = open_registry();
     const time_point now{std::chrono::hours(1)};
     targets.take(report_of("t", report_state::ready, 1), now);
     CHECK_FALSE(targets.is_cold(now));
--- a/tests/unit/transfer_slots.cpp
+++ b/tests/unit/transfer_slots.cpp
@@ -27,11 +27,11 @@
 constexpr int simulated_ms = 60'000;
 // Time between an entry's choice of an owner and the arrival of the body. No
 // other entry sees the body until then.
-constexpr int least_unseen_ms = 5;
-constexpr int most_unseen_ms = 70;
-constexpr int most_link_ms = 160;
+constexpr int min_unseen_ms = 5;
+constexpr int max_unseen_ms = 70;
+constexpr int max_link_ms = 160;
 // An eighth of the body's objective of 800 ms.
-constexpr int most_claim_wait_ms = 100;
+constexpr int max_claim_wait_ms = 100;
 
 /** Counts of bodies and short calls. */
 struct outcome
@@ -87,10 +87,10 @@
 
     void look_up()
     {
-        constexpr double most_wait_ms = 100;
+        constexpr double max_wait_ms = 100;
         const auto host = m_random.below(hosts);
         ++m_seen.lookups;
-        m_seen.lookups_late += wait_at(host) > most_wait_ms ? 1 : 0;
+        m_seen.lookups_late += wait_at(host) > max_wait_ms ? 1 : 0;
         arrives(host, lookup_bytes);
     }
 
@@ -103,9 +103,9 @@
             each = m_random.below(hosts);
         std::ranges::sort(asked, {},
                           [this](std::size_t host) { return wait_at(host); });
-        if (wait_at(asked[0]) + body_bytes / bytes_per_ms > most_link_ms)
+        if (wait_at(asked[0]) + body_bytes / bytes_per_ms > max_link_ms)
             return;
-        claim({asked, m_now + most_claim_wait_ms});
+        claim({asked, m_now + max_claim_wait_ms});
     }
 
     /** A body that waits at its entry for a transfer slot. */
@@ -138,7 +138,7 @@
     {
         ++m_seen.bodies_sent;
         const auto unseen =
-            least_unseen_ms + static_cast<int>(m_random.below(most_unseen_ms));
+            min_unseen_ms + static_cast<int>(m_random.below(max_unseen_ms));
         m_in_transit.emplace(m_now + unseen, host);
     }
 
--- a/tests/unit/version_gate.cpp
+++ b/tests/unit/version_gate.cpp
@@ -93,17 +93,17 @@
     version_gate gate([&](const config_table&) { return known; });
     CHECK(gate.offer(past.deltas[0]) == gate_decision::waiting_names);
     CHECK(gate.current()->version() == 0);
-    CHECK_FALSE(gate.retry_held());
+    CHECK_FALSE(gate.retry_waiting());
     known = true;
-    CHECK(gate.retry_held());
+    CHECK(gate.retry_waiting());
     CHECK(gate.current()->version() == 1);
-    CHECK(gate.held() == 0);
+    CHECK(gate.waiting() == 0);
 }
 
 TEST_CASE("the number of held updates is bounded")
 {
     history past;
-    for (std::size_t i = 0; i < 2 * version_gate::most_held; ++i)
+    for (std::size_t i = 0; i < 2 * version_gate::max_waiting; ++i)
     {
         row changed;
         changed.key = {"s", "p"};
@@ -113,11 +113,11 @@
     version_gate gate(all_known);
     for (std::size_t i = 1; i < past.deltas.size(); ++i)
         gate.offer(past.deltas[i]);
-    CHECK(gate.held() == version_gate::most_held);
+    CHECK(gate.waiting() == version_gate::max_waiting);
     CHECK(gate.greatest_seen() == past.deltas.size());
     CHECK(gate.offer(past.deltas[0]) == gate_decision::applied);
-    CHECK(gate.current()->version() == version_gate::most_held + 1);
-    CHECK(gate.held() == 0);
+    CHECK(gate.current()->version() == version_gate::max_waiting + 1);
+    CHECK(gate.waiting() == 0);
 }
 
 TEST_CASE("the update log returns all deltas since a version, or none")
