--- a/include/tillerhall/control/report_controller.hpp
+++ b/include/tillerhall/control/report_controller.hpp
@@ -29,8 +29,8 @@
      */
     bool take(const target_report& report);
 
-    /** The departure records of earlier boots are loaded; reports are judged
-     * from now on. */
+    /** Called once the departure records of earlier boots are loaded; accepts
+     * reports from then on. */
     void departures_loaded();
 
     /** Announces changes that the owner observed, such as a target crash. */
--- a/include/tillerhall/control/rollout_registry.hpp
+++ b/include/tillerhall/control/rollout_registry.hpp
@@ -50,7 +50,7 @@
     void update_stable_releases();
 
 private:
-    /** The only release of a service, and since when it is alone. */
+    /** The only release of a service, and since when it is the only one. */
     struct sole_release
     {
         std::string release;
--- a/include/tillerhall/control/rollout_source.hpp
+++ b/include/tillerhall/control/rollout_source.hpp
@@ -14,13 +14,14 @@
 /** Mapping between roll-outs and rows, supplied by a platform adapter. */
 struct rollout_source
 {
-    /** Decodes a row of the table that holds the routes. Returns nothing if it
-     * is not an order, else the order or why it is refused. */
+    /** Decodes a row of the table that holds the routes. Returns nothing if the
+     * row is not an order, else the order or why it is refused. */
     std::function<std::optional<result<rollout_order>>(const stored_row&)>
         decode_order;
 
-    /** Returns the row of a service's order; below, its text. */
+    /** Returns the row of a service's order. */
     std::function<row_name(const std::string& service)> order_row;
+    /** Returns the value of the row. */
     std::function<std::string(const rollout_order&)> encode_order;
 
     /** Returns the row of the state of a service's roll-out. */
--- a/include/tillerhall/control/route_controller.hpp
+++ b/include/tillerhall/control/route_controller.hpp
@@ -1,4 +1,4 @@
-/** @file Keeps the routes in force: from a reader, the store or a peer. */
+/** @file Obtains the routes from a reader, the store or a peer. */
 #pragma once
 
 #include "tillerhall/control/routes_update.hpp"
--- a/include/tillerhall/distribution/circuit_breaker.hpp
+++ b/include/tillerhall/distribution/circuit_breaker.hpp
@@ -14,7 +14,8 @@
     duration most_open = std::chrono::seconds(15);
 };
 
-/** Opens after consecutive failures; open times grow, with jitter. Pure. */
+/** Opens after consecutive failures; open times grow, with jitter. Does no
+ * I/O. */
 class circuit_breaker
 {
 public:
--- a/include/tillerhall/distribution/source_freshness.hpp
+++ b/include/tillerhall/distribution/source_freshness.hpp
@@ -10,7 +10,7 @@
 namespace tillerhall
 {
 
-/** The newest read of the source by this node or a peer. Pure. */
+/** The newest read of the source by this node or a peer. Does no I/O. */
 class source_freshness
 {
 public:
--- a/include/tillerhall/distribution/store_role.hpp
+++ b/include/tillerhall/distribution/store_role.hpp
@@ -24,7 +24,7 @@
  * `staleness_limit` polls the store itself, also when cut off from its peers,
  * so it lags behind by at most that limit and one call. Of the `candidates`
  * best readers the first announces; the next take over when they receive no
- * recent update from a better one. Pure.
+ * recent update from a better one. Does no I/O.
  */
 class store_role_choice
 {
--- a/include/tillerhall/distribution/version_gate.hpp
+++ b/include/tillerhall/distribution/version_gate.hpp
@@ -25,10 +25,10 @@
 std::string_view name_of(gate_decision decision) noexcept;
 
 /**
- * The only way to a newer table on a node. Invariants for updates in any order:
+ * Applies all changes of a node's table. Invariants for updates in any order:
  * the version never decreases; the table is always one complete version with a
  * verified digest; all services and places that it names were known when it was
- * applied. Pure.
+ * applied. Does no I/O.
  */
 class version_gate
 {
--- a/include/tillerhall/distribution/write_pace.hpp
+++ b/include/tillerhall/distribution/write_pace.hpp
@@ -15,7 +15,7 @@
  * second's worth is queued. Each node delays its attempts by a random time
  * within the span that all nodes need, from the number of known nodes and the
  * rate of the partition. The span doubles after each refusal, since a node that
- * has just started knows few others. Pure.
+ * has just started knows few others. Does no I/O.
  */
 class write_pace
 {
@@ -27,7 +27,7 @@
     }
 
     /** Returns the delay before the first write of a node that knows @p
-     * members; these reach it without its row. */
+     * members, which also know it before its row is written. */
     duration initial_delay(std::size_t members, random_source& random) const;
 
     /** Notes that the partition refused a write. @return the delay before the
@@ -38,7 +38,8 @@
     void accepted() noexcept { m_refusals = 0; }
 
 private:
-    /** Returns the span in which each member writes once at the share used. */
+    /** Returns the span in which each member can write once at the share of the
+     * partition's rate that is used. */
     duration spread_for(std::size_t members) const;
 
     double m_per_s;
--- a/include/tillerhall/proxy/call_entry.hpp
+++ b/include/tillerhall/proxy/call_entry.hpp
@@ -88,9 +88,10 @@
         std::vector<address> tried;
         unsigned targets_reached = 0;
         std::vector<address> crashed_at; ///< owners whose target crashed
-        unsigned common_refusals = 0;    ///< refusals that others would repeat
-        bool may_have_run = false;       ///< in a try with an unknown outcome
-        bool is_canary = false; ///< the current try goes to a canary target
+        /** Refusals that other owners would repeat. */
+        unsigned common_refusals = 0;
+        bool may_have_run = false; ///< in a try with an unknown outcome
+        bool is_canary = false;    ///< the current try goes to a canary target
 
         /** @return the key by which refusals of similar calls are cached. */
         refused_work refusal_key() const
@@ -99,8 +100,8 @@
         }
     };
 
-    /** @return who makes a call, by its key and the runs of the local target.
-     */
+    /** @return the caller, found by the key of the call or by the active runs
+     * of the local target. */
     caller_identity caller_of(const whole_request& request,
                               const call_routes& routes,
                               const call_route& route);
@@ -112,7 +113,8 @@
     void set_account(owner_call& call,
                      whole_request& request,
                      const caller_identity& caller);
-    /** Sets what the route and the client demand of the call. */
+    /** Sets what the route and the client determine: the service, kind and
+     * rank, the deadline and the objective. */
     void set_terms(owner_call& call,
                    const call_route& route,
                    time_point received,
--- a/include/tillerhall/proxy/call_fingerprint.hpp
+++ b/include/tillerhall/proxy/call_fingerprint.hpp
@@ -39,7 +39,7 @@
  * @return the quarantine of @p request, see `poison_calls::quarantine_of`.
  * Computes no digest while no crash is known, and none of the body unless the
  * head matches a known poison call.
- * @param ended_at owners whose target crashed in the present try
+ * @param crashed_at owners whose target crashed while it ran @p request
  */
 std::optional<call_quarantine>
 quarantine_of(const poison_calls& known,
--- a/include/tillerhall/proxy/caller_check.hpp
+++ b/include/tillerhall/proxy/caller_check.hpp
@@ -42,7 +42,8 @@
  * the route is not open; an unknown key is refused on open routes too. A call
  * without a key is accepted as the target's own only if its id names an active
  * run here. If the id merely looks nested, perhaps because this process has
- * restarted since, the result is `unverified`, not `unauthenticated`. Pure.
+ * restarted since, the result is `unverified`, not `unauthenticated`. Does
+ * no I/O.
  */
 caller_identity identify_caller(const whole_request& request,
                                 const call_routes& routes,
--- a/include/tillerhall/proxy/owner_answer.hpp
+++ b/include/tillerhall/proxy/owner_answer.hpp
@@ -20,7 +20,7 @@
     answered,  ///< the target gave a complete answer
     not_run,   ///< it did not run and will not
     unknown,   ///< it may have run
-    timed_out, ///< it may have run; its time is over
+    timed_out, ///< it may have run; its deadline has passed
     cancelled  ///< its client left
 };
 
--- a/include/tillerhall/proxy/owner_choice.hpp
+++ b/include/tillerhall/proxy/owner_choice.hpp
@@ -100,7 +100,7 @@
     slot_claim_fn m_claim_slot;
     random_source m_random;
     load_inquiry m_load_inquiry;
-    /** Owners that did not answer; they are not queried until then. */
+    /** Owners that did not answer, and until when each is not queried. */
     std::map<address, time_point> m_unresponsive_until;
 };
 
--- a/include/tillerhall/proxy/run_statistics.hpp
+++ b/include/tillerhall/proxy/run_statistics.hpp
@@ -21,11 +21,12 @@
 class run_statistics
 {
 public:
-    /** Sets the start in use to @p id. A new id resets the counts, so that the
-     * runs of one start are never attributed to another. */
+    /** Sets the id of the target's current start. A new id resets the counts,
+     * so that the runs of one start are never attributed to another. */
     void set_target(const std::string& id);
 
-    /** Counts a call accepted for the start @p id, and sets it in use. */
+    /** Counts a call accepted for the start @p id, which becomes the current
+     * one. */
     void run_started(const std::string& id);
 
     /**
--- a/include/tillerhall/proxy/wire_names.hpp
+++ b/include/tillerhall/proxy/wire_names.hpp
@@ -18,11 +18,12 @@
     std::string time_left = "Tillerhall-Deadline-Ms";
     /** Service of the host where a call began; set by the mesh. */
     std::string caller = "Tillerhall-Caller";
-    /** The start of a target that is meant; any other responds with 421. */
+    /** Id of the target start that the call is for; any other start responds
+     * with 421. */
     std::string expected_target = "Tillerhall-Expect-Target";
     /** Present if a target refused a call without running it. */
     std::string not_run = "X-Not-Run";
-    /** Field by which a target confirms a success; empty if it has none. */
+    /** Field by which a target confirms a success; empty if none is used. */
     std::string success_seal;
     /** Client account of a call; set by the mesh. */
     std::string account = "Tillerhall-Account";
