--- a/src/control/rollout_decider.cpp
+++ b/src/control/rollout_decider.cpp
@@ -13,7 +13,8 @@
 
 namespace json = boost::json;
 
-// Rollbacks follow the reports; this interval is for ends of stages.
+// A report of a regression is acted on at once; this interval applies to the
+// other decisions, such as the end of a stage.
 constexpr milliseconds decide_interval(200);
 // A node that received no report for this long does not decide.
 constexpr milliseconds report_staleness_limit(2'000);
--- a/src/control/rollout_reporter.cpp
+++ b/src/control/rollout_reporter.cpp
@@ -14,8 +14,8 @@
 
 // Short, so that a failing release is detected after few failed calls.
 constexpr milliseconds report_interval(150);
-// Reports are sent every n-th tick once many canary targets report, when all
-// wait for the last runs of the old release, and from stable targets.
+// Ticks between the reports of a target: of each target in late stages, when
+// many canary targets report, and of the sampled stable targets before that.
 constexpr unsigned ticks_many_canaries = 2;
 constexpr unsigned ticks_stable = 4;
 constexpr milliseconds report_timeout(400);
--- a/src/control/route_controller.cpp
+++ b/src/control/route_controller.cpp
@@ -30,8 +30,8 @@
 constexpr milliseconds reader_pause(500);
 constexpr milliseconds least_wait(100);
 constexpr milliseconds most_wait(800);
-// Peers of other domains may have a version this much earlier: the own reader
-// pauses and reads, and its update takes two or three hops.
+// Peers of other domains may have a version this much earlier: the reader of
+// this domain pauses and reads, and its update takes two or three hops.
 constexpr milliseconds peer_grace(700);
 // Added to the wait for the latest time of an answer, so that a delay of this
 // process does not make the answer seem newer.
--- a/src/proxy/call_entry.cpp
+++ b/src/proxy/call_entry.cpp
@@ -248,7 +248,7 @@
                                  cancel_scope& scope)
 {
     const auto& service = state.call.service;
-    std::optional<owner_answer> failure; // of a target, retried since
+    std::optional<owner_answer> failure; // answer of a target that is retried
     owner_answer last;
     last.end = call_end::not_run;
     last.reason = "no target of this service takes work";
--- a/src/proxy/client_answers.cpp
+++ b/src/proxy/client_answers.cpp
@@ -14,7 +14,7 @@
 
 namespace http = boost::beast::http;
 
-// Within this, new connections avoid a node that starts or ends.
+// By then new connections no longer go to a node that starts or stops.
 constexpr milliseconds retry_elsewhere_after(200);
 // A client that retries sooner meets the same queue.
 constexpr milliseconds min_retry_after(20);
--- a/src/proxy/target_owner.cpp
+++ b/src/proxy/target_owner.cpp
@@ -120,7 +120,7 @@
     const auto now = steady_clock::now();
     if (const double rate = cold_rate(now); rate > 0)
     {
-        // Entries see a cold target as one of as many slots as its rate allows.
+        // Reports only as many slots as the rate of a cold target can fill.
         const std::chrono::duration<double> run = m_admission.mean_run();
         report.slots =
             std::min(report.slots, std::max(1.0, rate * run.count()));
--- a/src/proxy/target_owner_crashes.cpp
+++ b/src/proxy/target_owner_crashes.cpp
@@ -11,7 +11,8 @@
 namespace
 {
 
-// An announcement is not repeated before it can have reached this node again.
+// Minimum time before the same call is announced again; until then this node's
+// view may still show it as a poison call.
 constexpr std::uint64_t announce_interval_ms = 1'000;
 constexpr std::size_t max_announced = 16;
 
--- a/tests/integration/poison_calls.cpp
+++ b/tests/integration/poison_calls.cpp
@@ -115,8 +115,8 @@
             system.send_repeatedly(std::chrono::seconds(3));
             *is_stopped = true;
             REQUIRE(system.wait_until([&] { return *ended == 6; }));
-            // If all targets crash at once it may be blamed twice; then a probe
-            // after five seconds clears it.
+            // If all targets crash at once the frequent call may be
+            // quarantined; then a probe after five seconds clears it.
             for (auto& each : system.hosts())
                 CHECK(system.wait_until(
                     [&] {
--- a/tests/integration/rollouts.cpp
+++ b/tests/integration/rollouts.cpp
@@ -447,7 +447,7 @@
                 if (with_token)
                     arguments.insert(arguments.end(),
                                      {"--token-file", token_file});
-                // The store runs on this thread, so the program is awaited on
+                // The store runs on this thread, so the program runs on
                 // another.
                 auto result = std::async(std::launch::async, [arguments]
                                          { return run(arguments); });
@@ -474,7 +474,7 @@
             CHECK(listed.find("perceel: v1 -> v2  running") !=
                   std::string::npos);
             CHECK(listed.find("failed") !=
-                  std::string::npos); // of the evidence
+                  std::string::npos); // part of the evidence
             CHECK(run_tiller({"abort", "perceel"}).code == 0);
             REQUIRE(system.wait_until(
                 [&] { return system.state_of("v1") == "completed"; }));
