--- a/include/tillerhall/control/quota_controller.hpp
+++ b/include/tillerhall/control/quota_controller.hpp
@@ -16,10 +16,10 @@
 
 /**
  * The best reader of each failure domain keeps a ledger. Entries send it their
- * counts several times a second (once if nothing arrived) and receive the
- * limits in the answer. Ledgers exchange the totals of their domains and
- * broadcast to their own domain when an account becomes limited. Nothing is
- * sent if no accounts are configured. Runs on the first worker.
+ * counts several times a second (less often without counts and limits) and
+ * receive the limits in the answer. Ledgers exchange the totals of their
+ * domains and broadcast to their own domain when an account becomes limited.
+ * Nothing is sent if no accounts are configured. Runs on the first worker.
  */
 class quota_controller
 {
--- a/include/tillerhall/control/report_controller.hpp
+++ b/include/tillerhall/control/report_controller.hpp
@@ -29,8 +29,8 @@
      */
     bool take(const target_report& report);
 
-    /** Called once the departure records of earlier boots are loaded; accepts
-     * reports from then on. */
+    /** Called once the departure records of earlier boots are loaded; until
+     * then no reported target gets calls. */
     void departures_loaded();
 
     /** Announces changes that the owner observed, such as a target crash. */
--- a/include/tillerhall/proxy/owner_answer.hpp
+++ b/include/tillerhall/proxy/owner_answer.hpp
@@ -21,7 +21,7 @@
     not_run,   ///< it did not run and will not
     unknown,   ///< it may have run
     timed_out, ///< it may have run; its deadline has passed
-    cancelled  ///< its client left
+    cancelled  ///< by its client, or by a stop of the entry
 };
 
 std::string_view name_of(call_end end) noexcept;
--- a/src/distribution/key_range.cpp
+++ b/src/distribution/key_range.cpp
@@ -56,7 +56,8 @@
     return each->key;
 }
 
-/** Splits @p inside into equal groups, and these at @p own_key. */
+/** Splits @p inside into groups of equal size, and a group that surrounds
+ * @p own_key once more at that key. */
 std::vector<member_group>
 group(member_group inside, std::size_t fanout, std::uint64_t own_key)
 {
@@ -77,7 +78,8 @@
     return groups;
 }
 
-/** Removes @p own_key from @p range; all of @p kept is on one side of it. */
+/** Removes @p own_key from @p range; all members of @p kept are on one side of
+ * that key. */
 void exclude(std::uint64_t own_key, member_group kept, key_range& range)
 {
     if (!range.contains(own_key))
--- a/src/proxy/call_entry.cpp
+++ b/src/proxy/call_entry.cpp
@@ -46,7 +46,8 @@
     return milliseconds(std::min(left, max_time_left_ms));
 }
 
-/** @return a start in [0, 1) that differs between nodes. */
+/** @return where the share sequence of a node starts, in [0, 1); differs
+ * between nodes. */
 double share_start(const address& own)
 {
     constexpr double two_pow_64 = 18446744073709551616.0; // 2^64
--- a/src/proxy/call_entry_peers.cpp
+++ b/src/proxy/call_entry_peers.cpp
@@ -1,4 +1,4 @@
-/** @file The part of the entry that talks to owners on other hosts. */
+/** @file The part of the entry that sends calls to owners on other hosts. */
 #include "tillerhall/proxy/call_entry.hpp"
 
 #include <array>
--- a/src/proxy/owner_choice.cpp
+++ b/src/proxy/owner_choice.cpp
@@ -41,7 +41,7 @@
 
 } // namespace
 
-/** How long answers to load queries are waited for. */
+/** Maximum waits for the answers to load queries. */
 struct owner_choice::wait_limits
 {
     duration first; ///< for the first answer
