--- a/include/tillerhall/proxy/owner_answer.hpp
+++ b/include/tillerhall/proxy/owner_answer.hpp
@@ -20,8 +20,8 @@
     answered,  ///< the target gave a complete answer
     not_run,   ///< it did not run and will not
     unknown,   ///< it may have run
-    timed_out, ///< it may have run; its time is over
-    cancelled  ///< its client left
+    timed_out, ///< it may have run; its deadline has passed
+    cancelled  ///< by its client, or by a stop of the entry
 };
 
 std::string_view name_of(call_end end) noexcept;
--- a/src/proxy/call_entry.cpp
+++ b/src/proxy/call_entry.cpp
@@ -46,7 +46,8 @@
     return milliseconds(std::min(left, max_time_left_ms));
 }
 
-/** @return a start in [0, 1) that differs between nodes. */
+/** @return where the share sequence of a node starts, in [0, 1); differs
+ * between nodes. */
 double share_start(const address& own)
 {
     constexpr double two_pow_64 = 18446744073709551616.0; // 2^64
@@ -249,7 +250,7 @@
                                  cancel_scope& scope)
 {
     const auto& service = state.call.service;
-    std::optional<owner_answer> failure; // of a target, retried since
+    std::optional<owner_answer> failure; // answer of a target that is retried
     owner_answer last;
     last.end = call_end::not_run;
     last.reason = "no target of this service takes work";
