--- a/benchmark/drain.cpp
+++ b/benchmark/drain.cpp
@@ -1,4 +1,4 @@
-/** @file How soon a leaving target gets no more work, and what is cut. */
+/** @file Last new call at a node that drains under load, and lost calls. */
 #include "experiment.hpp"
 #include "load.hpp"
 
@@ -26,14 +26,14 @@
     harness::cluster system(on, built);
     if (const auto started = system.start_with_table(); !started)
     {
-        say(started.reason().message());
+        print_progress(started.reason().message());
         return 1;
     }
     load_plan plan;
     plan.rate = std::min(400.0, options["rate"].as<double>());
     plan.length = std::chrono::duration_cast<duration>(
         std::chrono::duration<double>(options["seconds"].as<double>()));
-    // Calls come in everywhere, the node that will leave included.
+    // Calls enter through all nodes, including the one that leaves.
     for (auto& each : system.nodes())
         plan.through.push_back(each.caller);
     plan.make = [](std::size_t number)
@@ -59,27 +59,26 @@
     call_ledger ledger;
     const auto load = run_load(on, plan, &ledger);
     system.wait_until([&] { return stopped; });
-    const auto verdict = ledger.settle(system);
+    const auto totals = ledger.reconcile(system);
     const auto counts =
         system.get(system.nodes()[leaving].target, "/admin/stats");
     const auto last_us =
         counts ? counts->at("last_run_us").to_number<std::int64_t>() : 0;
     const double last_ms =
         std::max(0.0, static_cast<double>(last_us - left_us) / 1000);
-    // Calls through the node that is gone find no listener; they are refused
-    // by the kernel and ran nowhere. Only what ran and was lost is cut.
-    std::int64_t cut =
-        verdict.doubled + verdict.wrong + verdict.not_run_that_ran;
+    // Calls through the stopped node are refused by the kernel and have not
+    // run, so they are not counted as cut.
+    std::int64_t cut = totals.doubled + totals.wrong + totals.not_run_that_ran;
     cut += counts ? counts->at("cancelled").to_number<std::int64_t>() : 1;
-    const bool held = cut == 0 && code == 0;
+    const bool passed = cut == 0 && code == 0;
     report("drain", {{"last_new_work_ms", last_ms},
                      {"cut", cut},
                      {"exit_code", code},
                      {"calls", load->sent},
                      {"good", load->good},
-                     {"refused", verdict.refused},
-                     {"unknown", verdict.unknown}});
-    return held ? 0 : 1;
+                     {"refused", totals.refused},
+                     {"unknown", totals.unknown}});
+    return passed ? 0 : 1;
 }
 
 } // namespace tillerhall::bench
--- a/benchmark/faults.cpp
+++ b/benchmark/faults.cpp
@@ -1,4 +1,4 @@
-/** @file Random schedules of faults with the promises watched. */
+/** @file Random schedules of faults with checks of the guarantees. */
 #include "call_ledger.hpp"
 #include "experiment.hpp"
 #include "fault_schedule.hpp"
@@ -16,12 +16,12 @@
 namespace json = boost::json;
 
 constexpr int steps_per_schedule = 14;
-constexpr milliseconds step_length(700);
-constexpr milliseconds look_every(60);
-constexpr milliseconds call_every(15);
+constexpr milliseconds step_interval(700);
+constexpr milliseconds check_interval(60);
+constexpr milliseconds call_interval(15);
 constexpr std::size_t operators = 2;
 
-/** One schedule over one system: faults, operators, callers and a watch. */
+/** One schedule on one system, with operators, callers and invariant checks. */
 class fault_run
 {
 public:
@@ -42,8 +42,8 @@
         if (!first || !first->contains("digest") ||
             !m_system.wait_for_version(1))
             return error(error_code::not_ready, "no first version");
-        m_watch = std::make_unique<invariant_watch>(m_system);
-        m_watch->accepted(1, first->at("digest").as_string().c_str());
+        m_checker = std::make_unique<invariant_checker>(m_system);
+        m_checker->accepted(1, first->at("digest").as_string().c_str());
         return {};
     }
 
@@ -57,26 +57,26 @@
                 for (int i = 0; i < steps_per_schedule; ++i)
                 {
                     faults.step();
-                    sleep_for(m_worker.io(), step_length);
+                    sleep_for(m_worker.io(), step_interval);
                 }
                 faults.heal_all();
-                m_going = false;
+                m_active = false;
             });
-        tasks.emplace_back([this] { look_on(); });
+        tasks.emplace_back([this] { monitor(); });
         for (std::size_t i = 0; i < operators; ++i)
-            tasks.emplace_back([this, i] { operate(i); });
+            tasks.emplace_back([this, i] { run_operator(i); });
         for (std::size_t i = 0; i < m_system.nodes().size(); i += 2)
-            tasks.emplace_back([this, i] { call_on(i); });
+            tasks.emplace_back([this, i] { run_caller(i); });
         run_parallel(std::move(tasks));
-        m_watch->check_end();
-        caused = faults.caused();
-        verdict = m_ledger.settle(m_system);
+        m_checker->check_final_state();
+        injected = faults.injected();
+        totals = m_ledger.reconcile(m_system);
     }
 
-    const invariant_watch& watch() const { return *m_watch; }
+    const invariant_checker& checker() const { return *m_checker; }
 
-    std::int64_t caused = 0;
-    ledger_verdict verdict;
+    std::int64_t injected = 0;
+    ledger_totals totals;
 
 private:
     static harness::cluster_options options()
@@ -93,19 +93,19 @@
         return built;
     }
 
-    void look_on()
+    void monitor()
     {
-        while (m_going)
+        while (m_active)
         {
-            m_watch->look();
-            sleep_for(m_worker.io(), look_every);
+            m_checker->check_nodes();
+            sleep_for(m_worker.io(), check_interval);
         }
     }
 
-    /** Edits cells and accepts, through whatever node answers. */
-    void operate(std::size_t number)
+    /** Accepts random edits through random running nodes. */
+    void run_operator(std::size_t number)
     {
-        for (int i = 0; m_going; ++i)
+        for (int i = 0; m_active; ++i)
         {
             const auto id =
                 "op-" + std::to_string(number) + "-" + std::to_string(i);
@@ -142,25 +142,25 @@
         const auto result =
             answer ? json::parse(answer->body, failed) : json::value{};
         if (answer && !failed && answer->status == 200)
-            m_watch->accepted(result.at("version").to_number<std::uint64_t>(),
-                              result.at("digest").as_string().c_str());
+            m_checker->accepted(result.at("version").to_number<std::uint64_t>(),
+                                result.at("digest").as_string().c_str());
     }
 
-    /** Sends calls that may not be repeated through one node. */
-    void call_on(std::size_t through)
+    /** Sends non-idempotent calls through one node. */
+    void run_caller(std::size_t through)
     {
         const std::vector<std::string> services{"perceel", "oogstbeurs",
                                                 "schuur"};
         harness::caller from(m_worker.io(), m_system.nodes()[through].caller);
-        for (int i = 0; m_going; ++i)
+        for (int i = 0; m_active; ++i)
         {
             harness::call_request call{
                 services[m_random.below(services.size())],
                 "call-" + std::to_string(through) + "-" + std::to_string(i),
                 "POST", "/", "x"};
             call.timeout = std::chrono::seconds(3);
-            m_ledger.note(call.id, from.call(call));
-            sleep_for(m_worker.io(), call_every);
+            m_ledger.record(call.id, from.call(call));
+            sleep_for(m_worker.io(), call_interval);
         }
     }
 
@@ -169,9 +169,9 @@
     harness::cluster m_system;
     std::uint64_t m_seed;
     std::string m_table;
-    std::unique_ptr<invariant_watch> m_watch;
+    std::unique_ptr<invariant_checker> m_checker;
     call_ledger m_ledger;
-    bool m_going = true;
+    bool m_active = true;
 };
 
 } // namespace
@@ -183,35 +183,35 @@
     std::int64_t faults = 0;
     std::int64_t checks = 0;
     std::int64_t violations = 0;
-    ledger_verdict calls;
+    ledger_totals calls;
     std::uint64_t accepted = 0;
     for (std::size_t i = 0; i < schedules; ++i)
     {
-        say("schedule " + std::to_string(i + 1) + ", seed " +
-            std::to_string(seed + i));
+        print_progress("schedule " + std::to_string(i + 1) + ", seed " +
+                       std::to_string(seed + i));
         fault_run run(on, seed + i);
         if (const auto started = run.start(); !started)
         {
-            say(started.reason().message());
+            print_progress(started.reason().message());
             return 1;
         }
         run.run();
-        for (const auto& each : run.watch().violations())
-            say("  VIOLATION: " + each);
-        faults += run.caused;
-        checks += run.watch().checks() + run.verdict.calls;
+        for (const auto& each : run.checker().violations())
+            print_progress("  VIOLATION: " + each);
+        faults += run.injected;
+        checks += run.checker().checks() + run.totals.calls;
         violations +=
-            static_cast<std::int64_t>(run.watch().violations().size()) +
-            run.verdict.wrong + run.verdict.doubled +
-            run.verdict.not_run_that_ran + run.verdict.good_that_did_not_run;
-        accepted += run.watch().greatest_accepted();
-        calls.calls += run.verdict.calls;
-        calls.good += run.verdict.good;
-        calls.refused += run.verdict.refused;
-        calls.unknown += run.verdict.unknown;
-        calls.wrong += run.verdict.wrong;
-        calls.doubled += run.verdict.doubled;
-        calls.not_run_that_ran += run.verdict.not_run_that_ran;
+            static_cast<std::int64_t>(run.checker().violations().size()) +
+            run.totals.wrong + run.totals.doubled +
+            run.totals.not_run_that_ran + run.totals.good_that_did_not_run;
+        accepted += run.checker().highest_accepted();
+        calls.calls += run.totals.calls;
+        calls.good += run.totals.good;
+        calls.refused += run.totals.refused;
+        calls.unknown += run.totals.unknown;
+        calls.wrong += run.totals.wrong;
+        calls.doubled += run.totals.doubled;
+        calls.not_run_that_ran += run.totals.not_run_that_ran;
     }
     report("faults", {{"seed", seed},
                       {"schedules", schedules},
--- a/benchmark/harness/cluster_operations.cpp
+++ b/benchmark/harness/cluster_operations.cpp
@@ -1,4 +1,4 @@
-/** @file What tests and benches do with a running cluster. */
+/** @file Operations of tests and benchmarks on a running cluster. */
 #include "harness/cluster.hpp"
 
 #include <boost/json.hpp>
@@ -24,8 +24,9 @@
     if (!accepted->contains("version"))
         return error(error_code::conflict, json::serialize(*accepted));
     if (!wait_for_version(1))
-        return error(error_code::timed_out, "version 1 did not settle",
-                     "look into the logs in " + folder());
+        return error(error_code::timed_out,
+                     "version 1 did not reach every node",
+                     "see the logs in " + folder());
     return {};
 }
 
@@ -41,12 +42,12 @@
     return send(to, {"POST", path, json::serialize(body), m_token});
 }
 
-result<json::object> cluster::send(const address& to, const api_call& made)
+result<json::object> cluster::send(const address& to, const api_call& request)
 {
     auto& client = m_clients[to];
     if (!client)
         client = std::make_unique<api_client>(m_worker.io(), to);
-    const auto response = client->send(made, call_timeout);
+    const auto response = client->send(request, call_timeout);
     if (!response)
         return response.reason();
     boost::system::error_code failed;
--- a/fuzz/http.cpp
+++ b/fuzz/http.cpp
@@ -1,4 +1,4 @@
-/** @file Fuzzes request heads as the entry reads them. */
+/** @file Fuzzes the parsing of request heads at the entry node. */
 #include "tillerhall/http/inbound_call.hpp"
 #include "tillerhall/http/message.hpp"
 #include "tillerhall/node/call_context.hpp"
@@ -12,7 +12,7 @@
     using namespace tillerhall;
     namespace http = boost::beast::http;
     http::request_parser<http::empty_body> parser;
-    parser.header_limit(inbound_call::largest_head);
+    parser.header_limit(inbound_call::max_head_bytes);
     boost::system::error_code failed;
     parser.put(boost::asio::const_buffer(data, size), failed);
     if (failed || !parser.is_header_done())
@@ -24,9 +24,9 @@
         return 0;
     const auto now = steady_clock::now();
     const auto context = read_context(head, now);
-    const auto onward = onward_head(head, context, context.deadline, now);
-    if (onward.count(field_name::outcome) != 0 ||
-        onward.count(http::field::transfer_encoding) != 0)
+    const auto forwarded = forwarded_head(head, context, context.deadline, now);
+    if (forwarded.count(field_name::outcome) != 0 ||
+        forwarded.count(http::field::transfer_encoding) != 0)
         std::abort();
     (void)claim_key_of(head, "127.0.0.1");
     return 0;
--- a/include/tillerhall/control/quota_controller.hpp
+++ b/include/tillerhall/control/quota_controller.hpp
@@ -1,11 +1,11 @@
-/** @file Tells ledgers what accounts spend, and entries what may pass. */
+/** @file Exchanges usage counts and limits between entries and ledgers. */
 #pragma once
 
 #include "tillerhall/distribution/key_range.hpp"
 #include "tillerhall/node/mesh_state.hpp"
-#include "tillerhall/quota/limit_news.hpp"
 #include "tillerhall/quota/quota_gate.hpp"
 #include "tillerhall/quota/quota_ledger.hpp"
+#include "tillerhall/quota/quota_limit_changes.hpp"
 
 #include <boost/json/object.hpp>
 #include <string>
@@ -15,11 +15,11 @@
 {
 
 /**
- * The best reader of each failure domain keeps a ledger. Entries tell theirs
- * what came, a few times a second or once where nothing did, and hear what is
- * limited; ledgers tell each other their domain's sums, and their domain at
- * once when an account becomes limited. Without accounts nothing is sent. Runs
- * on the first worker.
+ * The best reader of each failure domain keeps a ledger. Entries send it their
+ * counts several times a second (less often without counts and limits) and
+ * receive the limits in the answer. Ledgers exchange the totals of their
+ * domains and broadcast to their own domain when an account becomes limited.
+ * Nothing is sent if no accounts are configured. Runs on the first worker.
  */
 class quota_controller
 {
@@ -30,34 +30,36 @@
     void start();
 
 private:
-    void tell_loop();
-    /** Tells the first ledger that answers, that of this domain first. */
-    void tell(const std::vector<quota_counts>& news);
+    void report_loop();
+    /** Sends counts to the first ledger that answers, this domain's first. */
+    void report(const std::vector<quota_counts>& counts);
     void exchange_loop();
     void exchange();
 
     boost::json::object on_counts(const boost::json::object& params);
-    boost::json::object on_sums(const boost::json::object& params);
+    boost::json::object on_totals(const boost::json::object& params);
     boost::json::object on_limits(const boost::json::object& params);
 
-    /** Takes counts of this domain's entries. @return what is limited. */
-    std::vector<quota_limit> count(const std::vector<quota_counts>& news);
-    /** Takes the accounts of the version in force into the ledger. */
-    void follow_accounts();
-    /** Tells the domain's entries when more is limited than they know. */
-    void warn_domain();
+    /** Adds counts of this domain's entries. @return the limits in force. */
+    std::vector<quota_limit>
+    add_counts(const std::vector<quota_counts>& counts);
+    /** Copies the accounts of the version in force into the ledger. */
+    void refresh_accounts();
+    /** Sends the limits to the domain's entries if one is new or much lower. */
+    void broadcast_limits();
     void send_limits(const std::vector<quota_limit>& limits,
                      const key_range& range);
-    /** @return ledgers, that of this node's failure domain first. */
+    /** Returns all ledgers, that of this node's failure domain first. */
     std::vector<address> ledgers() const;
-    duration pause() const;
+    duration report_interval() const;
 
     mesh_state& m_mesh;
     quota_gate& m_gate;
     quota_ledger m_ledger;
     std::uint64_t m_version = 0; ///< of the accounts in the ledger
-    std::map<std::string, quota_counts> m_sums; ///< not told to other ledgers
-    limit_news m_news;
+    std::map<std::string, quota_counts>
+        m_unsent_totals; ///< not yet sent to other ledgers
+    quota_limit_changes m_limit_changes;
 };
 
 } // namespace tillerhall
--- a/include/tillerhall/control/rollout_api.hpp
+++ b/include/tillerhall/control/rollout_api.hpp
@@ -1,4 +1,4 @@
-/** @file Roll-outs for operators: listed, explained, ordered and taken back. */
+/** @file HTTP API for operators: list, start and revert roll-outs. */
 #pragma once
 
 #include "tillerhall/control/rollout_decider.hpp"
@@ -10,28 +10,28 @@
 namespace tillerhall
 {
 
-/** Answers under /v1/rollouts, at the address for operators. */
+/** Serves /v1/rollouts at the operators' address. */
 class rollout_api
 {
 public:
-    /** @param token without which nothing is changed */
-    rollout_api(rollout_book& book,
+    /** @param token required for requests that change roll-outs */
+    rollout_api(rollout_registry& registry,
                 rollout_decider& decider,
-                rollout_keeper& keeper,
+                rollout_store_sync& store_sync,
                 std::string token);
 
-    /** @return nothing if @p request is for something else. */
+    /** Returns nothing if @p request is for another path or method. */
     std::optional<http_response> answer(const http_request& request);
 
 private:
-    http_response give(const http_request& request);
-    /** Orders the release back that a service had before. */
-    http_response take_back(const http_request& request);
-    http_response order(const rollout_order& wanted);
+    http_response post_order(const http_request& request);
+    /** Orders the service's previous stable release. */
+    http_response revert(const http_request& request);
+    http_response submit(const rollout_order& wanted);
 
-    rollout_book& m_book;
+    rollout_registry& m_registry;
     rollout_decider& m_decider;
-    rollout_keeper& m_keeper;
+    rollout_store_sync& m_store_sync;
     std::string m_token;
 };
 
--- a/include/tillerhall/control/rollout_decider.hpp
+++ b/include/tillerhall/control/rollout_decider.hpp
@@ -1,7 +1,7 @@
-/** @file Decides how roll-outs go on, by what owners report. */
+/** @file Decides on roll-outs by the reports of owners. */
 #pragma once
 
-#include "tillerhall/control/rollout_keeper.hpp"
+#include "tillerhall/control/rollout_store_sync.hpp"
 #include "tillerhall/rollout/rollout_judge.hpp"
 
 #include <boost/json/object.hpp>
@@ -14,65 +14,67 @@
 
 /**
  * Owners report to the best reader of each failure domain, so a few nodes have
- * all evidence and any of them may decide; what one decides binds all, and the
- * store settles the rest. A node that becomes a reader has all evidence with
- * the next reports, since these are counts from a target's start. Runs on the
- * first worker.
+ * all evidence and each of them may decide. A decision binds all nodes; the
+ * store resolves conflicts. Reports hold counts since the start of a target, so
+ * a new reader has all evidence after one round of reports. Runs on the first
+ * worker.
  */
 class rollout_decider
 {
 public:
-    /** @param is_reader whether this node decides also without reports: where
-     * no target of the new release is there */
+    /** @param is_reader returns true if this node decides also without reports,
+     * for when no target of the new release exists */
     rollout_decider(mesh_state& mesh,
-                    rollout_book& book,
-                    rollout_keeper& keeper,
+                    rollout_registry& registry,
+                    rollout_store_sync& store_sync,
                     std::function<bool()> is_reader);
 
     void add_methods();
     void start();
 
-    /** Takes a report of this node's own or another owner. */
-    void take(const owner_report& report);
+    /** Processes a report of this node or of another owner. */
+    void add_report(const owner_report& report);
 
-    /** @return what was found of each roll-out, for operators: here, or at a
-     * node that is told of what runs. */
-    boost::json::array account();
+    /** Returns state and evidence of each roll-out, for operators: of this node
+     * or, if it receives no reports, of a node that does. */
+    boost::json::array describe();
 
 private:
-    struct trial
+    /** The evidence for one order's release so far. */
+    struct evaluation
     {
         std::uint64_t revision = 0; ///< of the order
         rollout_stage stage = rollout_stage::spread;
         time_point stage_begun{};
-        time_point heard{}; ///< the last report
+        time_point last_report{};
         rollout_judge judge;
 
-        trial(const rollout_record& of, time_point now);
+        evaluation(const rollout_record& record, time_point now);
     };
 
-    boost::json::array own_account() const;
-    /** @return whether this node is told of what runs in all roll-outs. */
-    bool is_told() const;
+    boost::json::array describe_own() const;
+    /** Returns true if reports of all running roll-outs arrive here. */
+    bool has_recent_reports() const;
     void decide_loop();
     void decide(const rollout_record& record);
-    void move_on(const rollout_record& record, trial& of);
-    /** Tells operators what was compared when a stage was left. */
-    void note_step(const rollout_record& record, const rollout_judge& judge);
+    void advance(const rollout_record& record, evaluation& current);
+    /** Logs the compared figures at the end of a stage. */
+    void log_stage_end(const rollout_record& record,
+                       const rollout_judge& judge);
     void roll_back(const rollout_record& record, std::string reason);
-    /** @return the trial of a roll-out that runs, begun anew with each order
-     * and told of each new stage. */
-    trial& trial_of(const rollout_record& record);
-    /** @return owners of serving targets of @p release. */
+    /** Returns the evaluation of a running roll-out; restarts it with a new
+     * order and notes a new stage. */
+    evaluation& evaluation_of(const rollout_record& record);
+    /** Returns the owners of serving targets of @p release. */
     std::vector<address> owners_of(const std::string& service,
                                    const std::string& release) const;
-    std::string why_bad(const trial& of) const;
+    std::string rollback_reason(const evaluation& current) const;
 
     mesh_state& m_mesh;
-    rollout_book& m_book;
-    rollout_keeper& m_keeper;
+    rollout_registry& m_registry;
+    rollout_store_sync& m_store_sync;
     std::function<bool()> m_is_reader;
-    std::map<std::string, trial> m_trials; ///< by service
+    std::map<std::string, evaluation> m_evaluations; ///< by service
 };
 
 } // namespace tillerhall
--- /dev/null
+++ b/include/tillerhall/control/routes_update.hpp
@@ -0,0 +1,33 @@
+/** @file The message by which a reader announces the routes to its domain. */
+#pragma once
+
+#include "tillerhall/distribution/key_range.hpp"
+
+#include <boost/json/object.hpp>
+#include <cstdint>
+#include <set>
+#include <string>
+
+namespace tillerhall
+{
+
+/** The version in the store when it was last read, with its routes if new. */
+struct routes_update
+{
+    std::string reader;            ///< control address
+    std::size_t rank = 0;          ///< of the reader in its domain
+    std::uint64_t version = 0;     ///< of the routes in force at the reader
+    std::uint64_t revision = 0;    ///< of the store, read up to here
+    std::int64_t store_age_ms = 0; ///< since the store's answer
+    std::string packed;            ///< the packed routes; empty if not new
+    /** Drained failure domains at `revision`. */
+    std::set<std::string> drained;
+    key_range range; ///< members to which the receiver forwards
+};
+
+boost::json::object to_json(const routes_update& sent);
+
+/** Throws std::exception on a bad message; the RPC layer counts it. */
+routes_update routes_update_from_json(const boost::json::object& members);
+
+} // namespace tillerhall
--- a/include/tillerhall/node/blackboard.hpp
+++ b/include/tillerhall/node/blackboard.hpp
@@ -1,39 +1,39 @@
-/** @file What the controllers of a node share. */
+/** @file State shared by the controllers of a node. */
 #pragma once
 
 #include "tillerhall/core/published.hpp"
 #include "tillerhall/node/call_log.hpp"
 #include "tillerhall/node/journal.hpp"
-#include "tillerhall/node/pulse.hpp"
-#include "tillerhall/observe/bounded_log.hpp"
+#include "tillerhall/node/stall_detector.hpp"
 #include "tillerhall/observe/burn_tracker.hpp"
 #include "tillerhall/observe/metrics.hpp"
+#include "tillerhall/observe/rate_limited_log.hpp"
 #include "tillerhall/observe/traffic.hpp"
 #include "tillerhall/rollout/rollout_view.hpp"
 #include "tillerhall/routing/call_routes.hpp"
 #include "tillerhall/routing/domain_drains.hpp"
+#include "tillerhall/routing/poison_calls.hpp"
 #include "tillerhall/routing/route_view.hpp"
 #include "tillerhall/routing/service_targets.hpp"
-#include "tillerhall/routing/suspect_calls.hpp"
 
 #include <atomic>
 
 namespace tillerhall
 {
 
-/** Where a node stands in its life. */
+/** Lifecycle phase of a node. */
 enum class node_phase
 {
     joining,
     ready,
-    resuming, ///< after a pause, until it has heard the present
-    leaving,  ///< told to stop; what comes is still served
-    ending    ///< only what runs is finished; what comes is refused
+    resuming, ///< after a pause, until its state is up to date again
+    leaving,  ///< stop requested; new calls are still served
+    finishing ///< running calls are finished; new calls are refused
 };
 
 std::string_view name_of(node_phase phase) noexcept;
 
-/** @return whether a node in @p phase was told to stop. */
+/** Returns true if a node in @p phase has been asked to stop. */
 inline bool is_stopping(node_phase phase) noexcept
 {
     return phase >= node_phase::leaving;
@@ -41,31 +41,32 @@
 
 /**
  * Immutable views, counters and the phase of one node. Controllers on the
- * first worker write the views; any worker reads them.
+ * first worker publish the views; any worker reads them.
  * Lock order: each member locks only itself, as a leaf.
  */
 struct blackboard
 {
     published<route_view> routes{route_view_ptr(new route_view)};
-    /** Routes followed in a feed; empty where the table leads calls. */
+    /** Routes read from a feed; empty where calls are routed by the table. */
     published<call_routes> call_map{call_routes_ptr(new call_routes)};
     published<service_targets> targets{
         service_targets_ptr(new service_targets)};
     published<rollout_view> rollouts{rollout_view_ptr(new rollout_view)};
     published<domain_drains> drains{domain_drains_ptr(new domain_drains)};
-    published<suspect_calls> suspects{suspect_calls_ptr(new suspect_calls)};
+    published<poison_calls> poison_view{poison_calls_ptr(new poison_calls)};
     std::atomic<node_phase> phase{node_phase::joining};
-    pulse control;
+    stall_detector control;
     std::atomic<std::int64_t> calls_in_flight{0};
-    /** Wall clock when the current version was swapped in, microseconds. */
+    /** Wall clock when the current version took effect, in microseconds. */
     std::atomic<std::int64_t> applied_us{0};
-    /** Wall clock when it was accepted, as its accepter wrote. */
+    /** Wall clock of the accepting node when it accepted that version, in
+     * microseconds. */
     std::atomic<std::int64_t> accepted_us{0};
 
-    /** @return whether calls may be taken and passed on now. */
+    /** Returns true if calls may be accepted and forwarded now. */
     bool may_take_calls() const noexcept
     {
-        return phase == node_phase::ready && !control.was_paused();
+        return phase == node_phase::ready && !control.is_stalled();
     }
 
     metrics_registry metrics;
@@ -73,7 +74,7 @@
     burn_tracker burn;
     call_log calls;
     journal decisions;
-    bounded_log call_lines;
+    rate_limited_log call_lines;
 };
 
 } // namespace tillerhall
--- a/include/tillerhall/node/membership_controller.hpp
+++ b/include/tillerhall/node/membership_controller.hpp
@@ -1,4 +1,4 @@
-/** @file Keeps this node's list of members true, and joins the mesh. */
+/** @file Maintains this node's member list and joins the mesh. */
 #pragma once
 
 #include "tillerhall/core/backoff.hpp"
@@ -17,49 +17,51 @@
 namespace tillerhall
 {
 
-/** Heartbeats, joining, leaving and learning the present after a pause. */
+/**
+ * Sends and answers heartbeats, joins and leaves the mesh, and synchronizes
+ * with peers after a pause of the process. Used on the first worker only.
+ */
 class membership_controller
 {
 public:
-    /** Peers that a joining or resuming node asks. */
+    /** Number of peers that a joining or resuming node asks. */
     static constexpr std::size_t peers_asked = 3;
 
     membership_controller(mesh_state& mesh, distribution_controller& tables);
 
-    /** Adds the control methods for heartbeats, joins and news. */
+    /** Registers the control methods of membership with the RPC server. */
     void add_methods();
 
-    /** Starts the heartbeat loop. */
     void start();
 
     /**
-     * Asks @p peers in their order for the members and the table, until
-     * @p most_answers of them answered.
-     * @return whether any of them did.
+     * Requests the members and the table from @p peers in order, until
+     * @p max_answers of them have answered.
+     * @return true if any of them answered.
      */
     bool join_through(const std::vector<address>& peers,
-                      std::size_t most_answers = peers_asked);
+                      std::size_t max_answers = peers_asked);
 
-    /** Tells everyone at once that this node's state or target changed. */
+    /** Announces a change of this node's state or target to all members. */
     void announce_self(member_state state, target_state target_is);
 
-    /** Takes @p changed as this node's own record and tells everyone. */
+    /** Replaces this node's own record and announces it to all members. */
     void announce_self(const member& changed);
 
     /**
-     * Tells @p peer this node's own record.
-     * @return whether it has taken it.
+     * Sends this node's own record to @p peer.
+     * @return true if the peer acknowledged it.
      */
-    bool tell(const address& peer);
+    bool send_self_record(const address& peer);
 
-    /** Takes records that were read from the store. */
-    void learn(const std::vector<member>& records);
+    /** Merges records that were read from the store. */
+    void merge_stored(const std::vector<member>& records);
 
-    /** A connection of this node's own to @p node failed. */
+    /** Records a failed connection to @p node. */
     void connect_failed(const address& node);
 
-    /** Adds hosts that a list names and nobody here has heard of. */
-    void hint(const std::vector<address>& hosts);
+    /** Schedules heartbeats to those of @p hosts that are not known members. */
+    void contact_unknown(const std::vector<address>& hosts);
 
     source_freshness& freshness() noexcept { return m_freshness; }
 
@@ -72,54 +74,56 @@
 
     void heartbeat_loop();
     void send_heartbeat();
-    heartbeat_message own_message();
-    void heard(const heartbeat_message& message, const address& peer);
-    void found_alias(const address& node, const std::string& real);
+    heartbeat_message make_heartbeat();
+    void handle_heartbeat(const heartbeat_message& message,
+                          const address& peer);
+    void mark_replaced(const address& node, const std::string& advertised);
     void refute(const member& accusation);
-    void pass_on_newer(const sync_answer& theirs);
+    void spread_newer_records(const sync_answer& theirs);
     void sync_with(const address& peer);
     void resume();
-    void bury_overdue();
-    void forget_own_news();
-    /** Whether a record that is news here is passed on with heartbeats. */
-    enum class spreading
+    void expire_suspects();
+    void forget_own_evidence();
+    /** Whether a changed record is passed on with heartbeats. */
+    enum class propagation
     {
         none,
         by_rumor
     };
 
-    void merge(const member& record, const char* source, spreading spread);
+    void merge(const member& record, const char* source, propagation propagate);
     void merge_all(const std::vector<member>& records,
                    const char* source,
-                   spreading spread);
-    void tell_of_join(const address& joiner);
+                   propagation propagate);
+    void announce_join(const address& joiner);
     /**
-     * Tells all members. In a large mesh by way of the gatherer of this failure
-     * domain, which takes the news of a moment along in one broadcast: when all
-     * start at once, N nodes would else each be sent N messages.
+     * Sends @p records to all members. In a large mesh one member of each
+     * failure domain collects them and broadcasts batches. Guards against N
+     * messages to each of N nodes when all nodes start at the same time.
      */
-    void tell_all(const std::vector<member>& news);
-    /** @return who gathers news here; nothing where a broadcast takes no more
-     * than two steps. */
-    std::optional<address> gatherer() const;
-    /** Broadcasts @p news soon, with what else is news by then. */
-    void gather(const std::vector<member>& news);
-    duration gathering_time() const;
+    void announce_to_all(const std::vector<member>& records);
+    /** @return the member that batches announcements of this failure domain, or
+     * nullopt if a broadcast takes at most two hops. */
+    std::optional<address> batching_member() const;
+    /** Adds @p records to the batch that is broadcast after `batch_delay`. */
+    void add_to_batch(const std::vector<member>& records);
+    duration batch_delay() const;
     void broadcast(const announce_message& message);
-    std::vector<address> some_peers(std::size_t count);
+    std::vector<address> random_peers(std::size_t count);
 
     mesh_state& m_mesh;
     distribution_controller& m_tables;
     heartbeat_schedule m_schedule;
     suspicion m_suspicion;
     source_freshness m_freshness;
-    token_bucket m_syncs;
-    token_bucket m_refutations;
+    token_bucket m_sync_limiter;
+    token_bucket m_refutation_limiter;
     std::map<address, std::uint64_t> m_versions_seen;
-    std::map<address, std::uint64_t> m_verified; ///< incarnation that answered
-    std::set<address> m_gathered;                ///< of whom all will be told
-    std::vector<address> m_hints;
-    unsigned m_differences_in_row = 0;
+    std::map<address, std::uint64_t> m_verified; ///< incarnation that confirmed
+                                                 ///< its address
+    std::set<address> m_batch;                   ///< to be broadcast
+    std::vector<address> m_unknown_hosts;
+    unsigned m_consecutive_differences = 0;
 };
 
 } // namespace tillerhall
--- a/include/tillerhall/node/pulse.hpp
+++ b/include/tillerhall/node/stall_detector.hpp
@@ -1,4 +1,4 @@
-/** @file Tells whether this process has been running all along. */
+/** @file Detects stalls of the control plane. */
 #pragma once
 
 #include "tillerhall/core/time.hpp"
@@ -10,14 +10,14 @@
 
 /**
  * Ticks while the control plane runs. After a pause of the whole process the
- * last tick is long ago, so that a call handled before the control plane
- * wakes up is refused all the same. Safe for threads.
+ * last tick is too old, so that calls are refused even before the control
+ * plane runs again. Thread-safe.
  */
-class pulse
+class stall_detector
 {
 public:
-    /** @param limit longest time without a tick that is no pause */
-    explicit pulse(duration limit = std::chrono::seconds(2)) noexcept
+    /** @param limit longest time without a tick that is not a stall */
+    explicit stall_detector(duration limit = std::chrono::seconds(2)) noexcept
         : m_limit_ms(to_ms(limit))
         , m_last_ms(now_ms())
     {
@@ -27,9 +27,9 @@
     void tick() noexcept { m_last_ms = now_ms(); }
 
     /** @return milliseconds since the last tick. */
-    std::int64_t quiet_ms() const noexcept { return now_ms() - m_last_ms; }
+    std::int64_t ms_since_tick() const noexcept { return now_ms() - m_last_ms; }
 
-    bool was_paused() const noexcept { return quiet_ms() > m_limit_ms; }
+    bool is_stalled() const noexcept { return ms_since_tick() > m_limit_ms; }
 
 private:
     static std::int64_t now_ms() noexcept
--- a/include/tillerhall/routing/service_targets.hpp
+++ b/include/tillerhall/routing/service_targets.hpp
@@ -14,11 +14,11 @@
 namespace tillerhall
 {
 
-/** Members that may get a bounded share of a service's calls. */
-struct trial_targets
+/** Canary targets and the share of a service's calls that they may get. */
+struct canary_targets
 {
     std::vector<member_ptr> members;
-    double share = 0; ///< of the calls that reach the service
+    double share = 0; ///< of the calls to the service
 };
 
 /** An immutable view of one state of the member list. */
@@ -28,40 +28,46 @@
     service_targets() = default;
 
     /**
-     * @param rollouts what releases get; by default all are alike
-     * @param drains failure domains whose targets get nothing
+     * @param rollouts traffic shares of releases; by default all are alike
+     * @param drains failure domains whose targets get no calls
      */
     explicit service_targets(const member_list& members,
                              const rollout_view& rollouts = {},
                              const domain_drains& drains = {});
 
-    /** @return the members that serve @p service with the release that has its
-     * calls; empty if none is known. */
+    /**
+     * @return the members that serve @p service with its stable release; empty
+     * if none is known.
+     */
     const std::vector<member_ptr>& of(const std::string& service) const;
 
-    /** @return the members whose targets' release is not proved, and what they
-     * may get; none for most services at most times. */
-    const trial_targets& on_trial(const std::string& service) const;
+    /**
+     * @return the canary targets of @p service; empty unless a roll-out is
+     * under way.
+     */
+    const canary_targets& canaries_of(const std::string& service) const;
 
     /**
      * @return the members in a planned stop whose targets still serve
-     * @p service: for when no other has room.
+     * @p service; used when no other has a free slot.
      */
     const std::vector<member_ptr>& leaving(const std::string& service) const;
 
-    /** @return how many members run, this node included. */
+    /** @return the number of live members, this node included. */
     std::size_t live_members() const noexcept { return m_live; }
 
 private:
     using by_service = std::map<std::string, std::vector<member_ptr>>;
 
-    /** Moves what may not have all calls of its service out of the lists. */
-    void part_by_release(const std::string& service,
-                         std::vector<member_ptr>& members,
-                         const rollout_view& rollouts);
-    void put_on_trial(const std::string& service,
-                      std::vector<member_ptr> newcomers,
-                      std::size_t settled_targets,
+    /**
+     * Takes the members out of the lists whose releases may not get all calls.
+     */
+    void split_by_release(const std::string& service,
+                          std::vector<member_ptr>& members,
+                          const rollout_view& rollouts);
+    void add_canaries(const std::string& service,
+                      std::vector<member_ptr> canaries,
+                      std::size_t stable_targets,
                       const rollout_view& rollouts);
 
     static const std::vector<member_ptr>& find(const by_service& in,
@@ -69,7 +75,7 @@
 
     by_service m_by_service;
     by_service m_leaving;
-    std::map<std::string, trial_targets> m_trials;
+    std::map<std::string, canary_targets> m_canaries;
     std::size_t m_live = 1;
 };
 
--- /dev/null
+++ b/include/tillerhall/targets/target_registry.hpp
@@ -0,0 +1,106 @@
+/** @file Which target belongs to this node and whether it takes work. */
+#pragma once
+
+#include "tillerhall/targets/target_report.hpp"
+
+#include <algorithm>
+#include <map>
+#include <optional>
+#include <string_view>
+#include <vector>
+
+namespace tillerhall
+{
+
+/** Effect of a report. */
+enum class report_result
+{
+    unchanged, ///< nothing new
+    opened,    ///< a target takes work that did not before
+    changed,   ///< other properties of the target in use
+    closed,    ///< the target in use takes no more work
+    stale      ///< an older report, or one of a target that has left
+};
+
+std::string_view name_of(report_result result) noexcept;
+
+/**
+ * The targets that have reported to this boot of the node.
+ *
+ * A start of a target that has left never returns; a later start under the same
+ * id is a new target. The reports of a start are ordered by their sequence, so
+ * a late report has no effect; of two starts under one id the later one is in
+ * use. Among different ids the one whose first report came last is in use; an
+ * older one takes over again only with a report of a greater sequence. No
+ * target is in use before `set_departures_known` is called: after a restart the
+ * node must not trust a report that may be older than a departure which its
+ * earlier boot acknowledged. Does no I/O.
+ */
+class target_registry
+{
+public:
+    /**
+     * Number of departure records kept. Reports older than that are no longer
+     * in transit.
+     */
+    static constexpr std::size_t max_departures = 8;
+
+    report_result take(const target_report& report, time_point now);
+
+    /**
+     * Records the departure of @p start, from a report or a stored departure
+     * record.
+     * @return true if it was in use until now.
+     */
+    bool record_departure(const std::string& start);
+
+    /**
+     * To be called when the departure records of earlier boots have been read.
+     */
+    void set_departures_known() noexcept { m_departures_known = true; }
+    bool departures_known() const noexcept { return m_departures_known; }
+
+    /** @return the starts that have left, the newest last. */
+    const std::vector<std::string>& departed() const noexcept
+    {
+        return m_departed;
+    }
+    bool has_departed(const std::string& start) const;
+
+    /** @return the target that takes work, or null. */
+    const target_report* in_use() const noexcept;
+
+    /**
+     * @return the target of the last ready report, whether it is in use or not;
+     * null if there is none.
+     */
+    const target_report* newest() const noexcept;
+
+    /** @return true if the target in use is cold. */
+    bool is_cold(time_point now) const noexcept { return now < m_cold_until; }
+    time_point cold_until() const noexcept { return m_cold_until; }
+
+    /**
+     * Treats the target as cold until its next report, for @p span at most: it
+     * may have become cold while nothing was sent to it.
+     */
+    void assume_cold(duration span, time_point now) noexcept
+    {
+        m_cold_until = std::max(m_cold_until, now + span);
+    }
+
+private:
+    report_result take_leaving(const target_report& report);
+    /** @return true if a later start under the same id is in use. */
+    bool is_outdated(const target_report& report, time_point now) const;
+
+    std::map<std::string, std::uint64_t> m_sequences; ///< by start
+    std::vector<std::string> m_departed;
+    std::optional<target_report> m_current;
+    time_point
+        m_last_report_at{}; ///< time of the last report of the target in use
+    time_point m_cold_until{};
+    bool m_departures_known = false;
+};
+
+} // namespace tillerhall
--- a/src/distribution/key_range.cpp
+++ b/src/distribution/key_range.cpp
@@ -12,10 +12,10 @@
 namespace
 {
 
-// A part is offered to this many members before it is given up.
-constexpr std::size_t most_candidates = 3;
+// Members to which a part is offered before it is given up.
+constexpr std::size_t max_candidates = 3;
 
-/** @return the live members in @p range but this node, in order of key. */
+/** Returns the live members in @p range without this node, ordered by key. */
 std::vector<const keyed_member*> members_in(const key_range& range,
                                             const member_list& members)
 {
@@ -23,17 +23,18 @@
     const auto& self = members.self().rpc;
     std::vector<const keyed_member*> inside;
     auto each =
-        std::ranges::lower_bound(all, range.least, {}, &keyed_member::key);
-    for (; each != all.end() && each->key <= range.most; ++each)
+        std::ranges::lower_bound(all, range.min_key, {}, &keyed_member::key);
+    for (; each != all.end() && each->key <= range.max_key; ++each)
         if (is_live(*each->record) && each->record->rpc != self)
             inside.push_back(&*each);
     return inside;
 }
 
-/** @return up to three of the group, this node's own domain first. */
-std::vector<address> choose(std::span<const keyed_member* const> group,
-                            const member& self,
-                            random_source& random)
+/** Returns random candidates of the group, this node's domain first. */
+std::vector<address>
+choose_candidates(std::span<const keyed_member* const> group,
+                  const member& self,
+                  random_source& random)
 {
     std::vector<std::size_t> order(group.size());
     for (std::size_t i = 0; i < order.size(); ++i)
@@ -43,7 +44,7 @@
         order,
         [&](std::size_t i) { return group[i]->record->place == self.place; });
     std::vector<address> chosen;
-    for (std::size_t i = 0; i < std::min(most_candidates, order.size()); ++i)
+    for (std::size_t i = 0; i < std::min(max_candidates, order.size()); ++i)
         chosen.push_back(group[order[i]]->record->rpc);
     return chosen;
 }
@@ -55,7 +56,8 @@
     return each->key;
 }
 
-/** Cuts @p inside into equal groups, none of which straddles @p own_key. */
+/** Splits @p inside into groups of equal size, and a group that surrounds
+ * @p own_key once more at that key. */
 std::vector<member_group>
 group(member_group inside, std::size_t fanout, std::uint64_t own_key)
 {
@@ -76,25 +78,26 @@
     return groups;
 }
 
-/** Cuts @p own_key off @p range, which all of @p kept lies on one side of. */
+/** Removes @p own_key from @p range; all members of @p kept are on one side of
+ * that key. */
 void exclude(std::uint64_t own_key, member_group kept, key_range& range)
 {
     if (!range.contains(own_key))
         return;
     if (kept.front()->key > own_key)
-        range.least = own_key + 1;
+        range.min_key = own_key + 1;
     else
-        range.most = own_key - 1;
+        range.max_key = own_key - 1;
 }
 
-std::string hex_of(std::uint64_t number)
+std::string to_hex(std::uint64_t number)
 {
     std::array<char, 16> digits{};
     const auto end = std::to_chars(digits.begin(), digits.end(), number, 16);
     return {digits.begin(), end.ptr};
 }
 
-std::uint64_t number_of(const boost::json::value& hex)
+std::uint64_t from_hex(const boost::json::value& hex)
 {
     const std::string_view text = hex.as_string();
     std::uint64_t number = 0;
@@ -116,17 +119,18 @@
     const auto inside = members_in(range, members);
     const auto groups = group(inside, fanout, own_key);
     std::vector<range_part> parts;
-    auto least = range.least;
+    auto min_key = range.min_key;
     for (std::size_t i = 0; i < groups.size(); ++i)
     {
         const bool is_last = i + 1 == groups.size();
         range_part part;
-        part.range.least = least;
-        part.range.most = is_last ? range.most : groups[i + 1].front()->key - 1;
-        least = part.range.most + 1;
+        part.range.min_key = min_key;
+        part.range.max_key =
+            is_last ? range.max_key : groups[i + 1].front()->key - 1;
+        min_key = part.range.max_key + 1;
         exclude(own_key, groups[i], part.range);
         part.live_members = groups[i].size();
-        part.candidates = choose(groups[i], members.self(), random);
+        part.candidates = choose_candidates(groups[i], members.self(), random);
         parts.push_back(std::move(part));
     }
     return parts;
@@ -148,17 +152,17 @@
 {
     if (range == key_range{})
         return;
-    into["lo"] = hex_of(range.least);
-    into["hi"] = hex_of(range.most);
+    into["lo"] = to_hex(range.min_key);
+    into["hi"] = to_hex(range.max_key);
 }
 
 key_range range_from_json(const boost::json::object& members)
 {
     key_range range;
-    if (const auto* least = members.if_contains("lo"))
-        range.least = number_of(*least);
-    if (const auto* most = members.if_contains("hi"))
-        range.most = number_of(*most);
+    if (const auto* low = members.if_contains("lo"))
+        range.min_key = from_hex(*low);
+    if (const auto* high = members.if_contains("hi"))
+        range.max_key = from_hex(*high);
     return range;
 }
 
--- a/src/distribution/version_gate.cpp
+++ b/src/distribution/version_gate.cpp
@@ -25,31 +25,33 @@
 
 gate_decision version_gate::offer(const table_update& update)
 {
-    saw(update.version);
+    note_version(update.version);
     const auto decision = decide(update);
     if (decision == gate_decision::applied)
-        retry_held();
+        retry_waiting();
     if (decision != gate_decision::missing_parent &&
         decision != gate_decision::waiting_names)
         return decision;
-    hold(update);
-    return m_held.contains(update.version) ? decision : gate_decision::too_far;
+    add_waiting(update);
+    return m_waiting.contains(update.version) ? decision
+                                              : gate_decision::too_far;
 }
 
-bool version_gate::retry_held()
+bool version_gate::retry_waiting()
 {
     bool any = false;
     bool again = true;
     while (again)
     {
         again = false;
-        // Newest first: a whole table makes the ones below it needless.
-        for (auto held = m_held.rbegin(); held != m_held.rend(); ++held)
+        // Newest first: a whole table supersedes the versions below it.
+        for (auto candidate = m_waiting.rbegin(); candidate != m_waiting.rend();
+             ++candidate)
         {
-            const auto update = held->second;
+            const auto update = candidate->second;
             const auto decision = decide(update);
             if (decision == gate_decision::corrupt)
-                m_held.erase(update.version);
+                m_waiting.erase(update.version);
             again = decision == gate_decision::applied;
             if (again || decision == gate_decision::corrupt)
                 break;
@@ -59,7 +61,7 @@
     return any;
 }
 
-void version_gate::saw(std::uint64_t version) noexcept
+void version_gate::note_version(std::uint64_t version) noexcept
 {
     m_greatest_seen = std::max(m_greatest_seen, version);
 }
@@ -75,8 +77,8 @@
             return gate_decision::corrupt;
         return take(update, std::move(outcome.parsed.table));
     }
-    // Only the very next version fits; equal digests alone could skip one
-    // that this node has not judged.
+    // Only the next version is applicable; a matching parent digest alone could
+    // skip a version that this node has not checked.
     if (update.version != m_current->version() + 1)
         return gate_decision::missing_parent;
     if (m_current->version() != 0 &&
@@ -97,28 +99,28 @@
     const auto before = m_current;
     m_current = table_view_ptr(new table_view(
         update.version, update.digest, update.accepted_us, std::move(table)));
-    drop_held_up_to(update.version);
+    drop_waiting_up_to(update.version);
     if (m_applied)
         m_applied(*before, *m_current);
     return gate_decision::applied;
 }
 
-void version_gate::hold(const table_update& update)
+void version_gate::add_waiting(const table_update& update)
 {
-    auto& held = m_held[update.version];
-    if (!held.whole) // a whole table is worth more than a delta
-        held = update;
-    while (m_held.size() > most_held)
+    auto& known = m_waiting[update.version];
+    if (!known.whole) // a whole table is kept in favour of a delta
+        known = update;
+    while (m_waiting.size() > max_waiting)
     {
-        // The lowest is needed first; what lies farthest ahead is pulled.
-        const auto farthest = std::prev(m_held.end());
-        m_held.erase(farthest);
+        // The lowest is needed first; the highest can be pulled later.
+        const auto farthest = std::prev(m_waiting.end());
+        m_waiting.erase(farthest);
     }
 }
 
-void version_gate::drop_held_up_to(std::uint64_t version)
+void version_gate::drop_waiting_up_to(std::uint64_t version)
 {
-    m_held.erase(m_held.begin(), m_held.upper_bound(version));
+    m_waiting.erase(m_waiting.begin(), m_waiting.upper_bound(version));
 }
 
 } // namespace tillerhall
--- a/src/membership/member.cpp
+++ b/src/membership/member.cpp
@@ -18,7 +18,7 @@
 constexpr std::array<std::string_view, 3> target_state_names{
     "serving", "draining", "down"};
 
-/** Positions in the compact form. */
+/** Array indexes in the compact form. */
 enum field : std::size_t
 {
     rpc_address,
@@ -32,11 +32,11 @@
     target_is,
     state,
     incarnation,
-    field_count, ///< of the first format; what follows may be absent
+    field_count, ///< of the first format; all later fields are optional
     target_id = field_count,
-    left_targets,
+    departed_targets,
     link_mbps,
-    target_ends, ///< absent with what follows where there are none
+    target_crashes, ///< written only if it or a later field is not empty
     good_runs,
     release
 };
@@ -46,7 +46,7 @@
     return {base.ip, json::value_to<std::uint16_t>(port)};
 }
 
-/** Reads a state number; one out of range throws, as a bad message. */
+/** Reads an enumerator; throws std::out_of_range if @p count is exceeded. */
 template <class Enum>
 Enum enum_from(const json::value& value, std::size_t count)
 {
@@ -56,13 +56,13 @@
     return static_cast<Enum>(number);
 }
 
-json::value to_json(const target_end& sent)
+json::value to_json(const target_crash& sent)
 {
     return json::array{sent.target_id, sent.at_ms,
                        json::value_from(sent.calls)};
 }
 
-target_end target_end_from(const json::value& value)
+target_crash target_crash_from(const json::value& value)
 {
     const auto& cells = value.as_array();
     return {json::value_to<std::string>(cells.at(0)),
@@ -83,7 +83,7 @@
 }
 
 template <class Event>
-json::array list_of(const std::vector<Event>& events)
+json::array to_json_array(const std::vector<Event>& events)
 {
     json::array list;
     for (const auto& each : events)
@@ -91,32 +91,32 @@
     return list;
 }
 
-auto order_of(const target_end& event)
+auto sort_key(const target_crash& event)
 {
     return std::tie(event.at_ms, event.target_id);
 }
 
-auto order_of(const good_run& event)
+auto sort_key(const good_run& event)
 {
     return std::tie(event.at_ms, event.call);
 }
 
-/** Adds what is missing; the same newest ones everywhere, in whatever order
- * they came. @return whether @p to changed. */
+/** Merges @p offered into @p to and keeps the newest. The result doesn't depend
+ * on the order of merges. @return true if @p to changed. */
 template <class Event>
 bool add_newest(std::vector<Event>& to,
                 const std::vector<Event>& offered,
-                std::size_t most_kept)
+                std::size_t max_kept)
 {
     auto all = to;
     std::ranges::copy_if(offered, std::back_inserter(all),
                          [&](const Event& each)
                          { return std::ranges::find(to, each) == to.end(); });
     std::ranges::sort(all, {},
-                      [](const Event& each) { return order_of(each); });
-    if (all.size() > most_kept)
+                      [](const Event& each) { return sort_key(each); });
+    if (all.size() > max_kept)
         all.erase(all.begin(),
-                  all.end() - static_cast<std::ptrdiff_t>(most_kept));
+                  all.end() - static_cast<std::ptrdiff_t>(max_kept));
     const bool changed = all != to;
     to = std::move(all);
     return changed;
@@ -149,21 +149,23 @@
     return offered.state > known.state;
 }
 
-bool add_left_targets(member& to, const std::vector<std::string>& left)
+bool add_departed_targets(member& to, const std::vector<std::string>& left)
 {
-    constexpr std::size_t most_kept = 8;
+    constexpr std::size_t max_kept = 8;
     std::vector<std::string> missing;
     std::ranges::copy_if(left, std::back_inserter(missing),
-                         [&](const std::string& id) {
-                             return std::ranges::find(to.left_targets, id) ==
-                                    to.left_targets.end();
+                         [&](const std::string& id)
+                         {
+                             return std::ranges::find(to.departed_targets,
+                                                      id) ==
+                                    to.departed_targets.end();
                          });
-    // What the record itself tells is newer.
-    to.left_targets.insert(to.left_targets.begin(), missing.begin(),
-                           missing.end());
-    if (to.left_targets.size() > most_kept)
-        to.left_targets.erase(to.left_targets.begin(),
-                              to.left_targets.end() - most_kept);
+    // Entries of the record itself are newer.
+    to.departed_targets.insert(to.departed_targets.begin(), missing.begin(),
+                               missing.end());
+    if (to.departed_targets.size() > max_kept)
+        to.departed_targets.erase(to.departed_targets.begin(),
+                                  to.departed_targets.end() - max_kept);
     return !missing.empty();
 }
 
@@ -185,25 +187,25 @@
            checked.state == member_state::leaving;
 }
 
-bool add_target_ends(member& to, const std::vector<target_end>& ends)
+bool add_target_crashes(member& to, const std::vector<target_crash>& crashes)
 {
-    constexpr std::size_t most_kept = 4;
-    return add_newest(to.target_ends, ends, most_kept);
+    constexpr std::size_t max_kept = 4;
+    return add_newest(to.target_crashes, crashes, max_kept);
 }
 
 bool add_good_runs(member& to, const std::vector<good_run>& runs)
 {
-    constexpr std::size_t most_kept = 16;
-    return add_newest(to.good_runs, runs, most_kept);
+    constexpr std::size_t max_kept = 16;
+    return add_newest(to.good_runs, runs, max_kept);
 }
 
-bool forget_news(member& of, std::uint64_t oldest_ms)
+bool forget_crash_evidence(member& of, std::uint64_t oldest_ms)
 {
     const auto is_old = [&](const auto& each)
     { return each.at_ms < oldest_ms; };
-    const auto ends = std::erase_if(of.target_ends, is_old);
+    const auto crashes = std::erase_if(of.target_crashes, is_old);
     const auto runs = std::erase_if(of.good_runs, is_old);
-    return ends + runs > 0;
+    return crashes + runs > 0;
 }
 
 json::value to_json(const member& sent)
@@ -220,13 +222,14 @@
                       static_cast<int>(sent.state),
                       sent.incarnation,
                       sent.target_id,
-                      json::value_from(sent.left_targets),
+                      json::value_from(sent.departed_targets),
                       sent.link_mbps};
-    const bool no_news = sent.target_ends.empty() && sent.good_runs.empty();
-    if (no_news && sent.release.empty())
+    const bool no_crash_data =
+        sent.target_crashes.empty() && sent.good_runs.empty();
+    if (no_crash_data && sent.release.empty())
         return cells;
-    cells.push_back(list_of(sent.target_ends));
-    cells.push_back(list_of(sent.good_runs));
+    cells.push_back(to_json_array(sent.target_crashes));
+    cells.push_back(to_json_array(sent.good_runs));
     if (!sent.release.empty())
         cells.push_back(json::string(sent.release));
     return cells;
@@ -253,17 +256,17 @@
         read.state =
             enum_from<member_state>(cells[state], member_state_names.size());
         read.incarnation = json::value_to<std::uint64_t>(cells[incarnation]);
-        if (cells.size() > left_targets)
+        if (cells.size() > departed_targets)
         {
             read.target_id = json::value_to<std::string>(cells[target_id]);
-            read.left_targets =
-                json::value_to<std::vector<std::string>>(cells[left_targets]);
+            read.departed_targets = json::value_to<std::vector<std::string>>(
+                cells[departed_targets]);
         }
         if (cells.size() > link_mbps)
             read.link_mbps = json::value_to<std::uint32_t>(cells[link_mbps]);
-        if (cells.size() > target_ends)
-            for (const auto& each : cells[target_ends].as_array())
-                read.target_ends.push_back(target_end_from(each));
+        if (cells.size() > target_crashes)
+            for (const auto& each : cells[target_crashes].as_array())
+                read.target_crashes.push_back(target_crash_from(each));
         if (cells.size() > good_runs)
             for (const auto& each : cells[good_runs].as_array())
                 read.good_runs.push_back(good_run_from(each));
@@ -285,8 +288,8 @@
 
 std::uint64_t key_of(const member& keyed)
 {
-    // Equal bits for two regions or domains only cost locality; 48 bits keep
-    // the keys of members apart.
+    // A collision of region or domain hashes only costs locality; the 48 bits
+    // of the address hash keep members' keys distinct.
     constexpr int name_bits = 8;
     const auto region = stable_hash(keyed.place.region) >> (64 - name_bits);
     const auto domain = stable_hash(keyed.place.domain) >> (64 - name_bits);
--- a/src/membership/member_list.cpp
+++ b/src/membership/member_list.cpp
@@ -43,17 +43,17 @@
     const auto* known = find(offered.rpc);
     if (known != nullptr && !supersedes(offered, *known))
         return merge_result::unchanged;
-    // A dead record of a forgotten node would come and go for ever.
+    // Else a removed dead record would be reintroduced by peers for ever.
     if (known == nullptr && offered.state == member_state::dead)
         return merge_result::unchanged;
     auto taken = offered;
-    // A new boot may not know yet what its earlier one told.
+    // A new boot may not know yet what its earlier boot reported.
     if (known != nullptr)
     {
-        add_left_targets(taken, known->left_targets);
-        add_target_ends(taken, known->target_ends);
+        add_departed_targets(taken, known->departed_targets);
+        add_target_crashes(taken, known->target_crashes);
         add_good_runs(taken, known->good_runs);
-        forget_news(taken, m_oldest_news_ms);
+        forget_crash_evidence(taken, m_oldest_evidence_ms);
     }
     store(taken);
     return merge_result::changed;
@@ -61,13 +61,15 @@
 
 merge_result member_list::merge_self(const member& offered)
 {
-    // Only this node writes its own record: raise it above the other one.
+    // Only this node writes its own record, so its incarnation must exceed that
+    // of any other version of the record.
     auto raised = self();
     const bool accused = supersedes(offered, raised);
-    const bool left = add_left_targets(raised, offered.left_targets);
-    const bool ended = add_target_ends(raised, offered.target_ends);
-    const bool ran = add_good_runs(raised, offered.good_runs);
-    const bool learned = left || ended || ran;
+    const bool departure_added =
+        add_departed_targets(raised, offered.departed_targets);
+    const bool crash_added = add_target_crashes(raised, offered.target_crashes);
+    const bool run_added = add_good_runs(raised, offered.good_runs);
+    const bool learned = departure_added || crash_added || run_added;
     if (!accused && !learned)
         return merge_result::unchanged;
     raised.incarnation = std::max(offered.incarnation, raised.incarnation) + 1;
@@ -165,7 +167,7 @@
     auto& kept = m_entries[stored.rpc];
     auto& bucket_digest = m_buckets[bucket_of(stored.rpc)];
     bucket_digest ^= kept.hash; // 0 for a new entry
-    // Dead records count for nothing: nodes forget them at different times.
+    // Dead records are excluded: nodes remove them at different times.
     const bool counts = stored.state != member_state::dead;
     if (!kept.record)
         kept.ring = stable_hash(stored.rpc.text());
--- a/src/node/distribution_controller.cpp
+++ b/src/node/distribution_controller.cpp
@@ -12,11 +12,11 @@
 
 namespace json = boost::json;
 
-// A push is acknowledged on receipt, so a short wait finds a dead relay.
+// Pushes are acknowledged on receipt, so a short timeout detects a dead relay.
 constexpr milliseconds push_timeout(700);
 constexpr milliseconds pull_timeout(3000);
-constexpr unsigned most_snapshots_served = 4;
-// Member changes come in bursts; the join of the view is made once for each.
+constexpr unsigned max_snapshots_served = 4;
+// Member changes come in bursts; the route view is rebuilt once for each burst.
 constexpr milliseconds publish_delay(10);
 
 json::object refusal(error_code code, const std::string& detail)
@@ -48,15 +48,15 @@
                [this](const json::object& p) { return on_watch(p); });
 }
 
-gate_decision distribution_controller::introduce(const table_update& update)
+gate_decision distribution_controller::distribute(const table_update& update)
 {
-    const auto decision = take(update);
+    const auto decision = offer(update);
     if (decision != gate_decision::old && decision != gate_decision::corrupt)
         deliver(update, key_range{});
     return decision;
 }
 
-gate_decision distribution_controller::take(const table_update& update)
+gate_decision distribution_controller::offer(const table_update& update)
 {
     const auto decision = m_gate.offer(update);
     count(decision, update);
@@ -74,7 +74,7 @@
         return;
     m_mesh.board.decisions.note(
         "held_or_dropped", "version " + std::to_string(update.version), name,
-        {{"current", current()->version()}, {"held", m_gate.held()}});
+        {{"current", current()->version()}, {"held", m_gate.waiting()}});
 }
 
 bool distribution_controller::names_known(const config_table& table) const
@@ -133,7 +133,7 @@
         {
             sleep_for(m_mesh.on.io(), publish_delay);
             m_publish_due = false;
-            m_gate.retry_held();
+            m_gate.retry_waiting();
             publish_routes();
         });
 }
@@ -166,7 +166,7 @@
             return;
         m_mesh.board.metrics.get("tillerhall_push_failed_total").add();
     }
-    // Heartbeats will show the rest of this part that it is behind.
+    // The other members of this part learn of the version from heartbeats.
     m_mesh.board.metrics.get("tillerhall_push_given_up_total").add();
 }
 
@@ -176,11 +176,11 @@
     if (!is_meant_for(m_mesh.members.self(), message.range))
         return refusal(error_code::invalid_argument, "not this node's range");
     const auto before = current()->version();
-    const auto decision = take(message.update);
+    const auto decision = offer(message.update);
     const bool is_new = message.update.version > before;
     const bool in_tree = message.range != key_range{};
-    // In a tree this node alone answers for its range, even if the version
-    // reached it another way first.
+    // In a tree only this node forwards to its range, so it must do so even if
+    // it received the version by another path first.
     if (decision != gate_decision::corrupt &&
         (is_new || (in_tree && message.update.version == before)))
         deliver(message.update, message.range);
@@ -188,14 +188,14 @@
     if (sender && (decision == gate_decision::missing_parent ||
                    decision == gate_decision::corrupt ||
                    decision == gate_decision::too_far))
-        heard_of(message.update.version, *sender);
+        note_peer_version(message.update.version, *sender);
     return {{"v", current()->version()}};
 }
 
-void distribution_controller::heard_of(std::uint64_t version,
-                                       const address& peer)
+void distribution_controller::note_peer_version(std::uint64_t version,
+                                                const address& peer)
 {
-    m_gate.saw(version);
+    m_gate.note_version(version);
     if (version <= current()->version() || m_pulling ||
         !m_strategy.pulls_from_peers())
         return;
@@ -226,9 +226,9 @@
         const auto pulled = pull_answer_from_json(*answer);
         bool fits = true;
         for (const auto& update : pulled.updates)
-            fits = take(update) != gate_decision::corrupt && fits;
-        if (pulled.take_whole || !fits)
-            return pull_whole(peer);
+            fits = offer(update) != gate_decision::corrupt && fits;
+        if (pulled.needs_snapshot || !fits)
+            return pull_snapshot(peer);
         return true;
     }
     catch (const std::exception&)
@@ -237,7 +237,7 @@
     }
 }
 
-bool distribution_controller::pull_whole(const address& peer)
+bool distribution_controller::pull_snapshot(const address& peer)
 {
     const auto answer = m_mesh.pool.call(
         {peer, traffic_kind::snapshot, method::snapshot, {}, pull_timeout});
@@ -245,7 +245,7 @@
         return false;
     const auto update = update_from_json(*answer);
     if (update)
-        take(*update);
+        offer(*update);
     return static_cast<bool>(update);
 }
 
@@ -260,20 +260,20 @@
     {
         answer.updates = std::move(*updates);
         auto message = to_json(answer);
-        // A long run of deltas can outgrow the table that it leads to.
+        // Many deltas can be larger than the table that results from them.
         if (json::serialize(message).size() <
                 write_csv(current()->table()).size() ||
             answer.updates.size() == 1)
             return message;
         answer.updates.clear();
     }
-    answer.take_whole = true;
+    answer.needs_snapshot = true;
     return to_json(answer);
 }
 
 json::object distribution_controller::on_snapshot(const json::object&)
 {
-    if (m_snapshots_served >= most_snapshots_served)
+    if (m_snapshots_served >= max_snapshots_served)
     {
         m_mesh.board.metrics.get("tillerhall_snapshot_refused_total").add();
         return refusal(error_code::retry_later, "serving snapshots to others");
@@ -281,7 +281,7 @@
     if (current()->version() == 0)
         return refusal(error_code::not_ready, "no table here yet");
     ++m_snapshots_served;
-    // The count falls when the answer has had time to leave this node.
+    // Decremented once the answer has had time to be sent.
     m_mesh.on.spawn(
         [this]
         {
--- a/src/node/membership_joining.cpp
+++ b/src/node/membership_joining.cpp
@@ -1,4 +1,4 @@
-/** @file The joining and syncing part of the membership controller. */
+/** @file Membership controller: joining and anti-entropy synchronization. */
 #include "tillerhall/node/membership_controller.hpp"
 
 #include <algorithm>
@@ -27,8 +27,8 @@
     {
         const auto read = sync_answer_from_json(*answer);
         m_mesh.members.learn_names(read.services, read.places);
-        merge_all(read.members, "sync", spreading::none);
-        pass_on_newer(read);
+        merge_all(read.members, "sync", propagation::none);
+        spread_newer_records(read);
     }
     catch (const std::exception&)
     {
@@ -36,7 +36,7 @@
     }
 }
 
-void membership_controller::pass_on_newer(const sync_answer& theirs)
+void membership_controller::spread_newer_records(const sync_answer& theirs)
 {
     std::map<address, member> known;
     for (const auto& each : theirs.members)
@@ -70,7 +70,7 @@
 }
 
 bool membership_controller::join_through(const std::vector<address>& peers,
-                                         std::size_t most_answers)
+                                         std::size_t max_answers)
 {
     struct joined
     {
@@ -80,11 +80,11 @@
     std::vector<joined> answers;
     for (const auto& peer : peers)
     {
-        if (answers.size() == most_answers)
+        if (answers.size() == max_answers)
             break;
         if (peer == m_mesh.members.self().rpc)
             continue;
-        // One of them is enough to tell the others.
+        // One peer is enough to announce this node to the others.
         const join_request request{m_mesh.members.self(), answers.empty()};
         const auto answer =
             m_mesh.pool.call({peer, traffic_kind::membership, method::join,
@@ -96,21 +96,23 @@
         }
         catch (const std::exception&)
         {
-            continue; // another peer may speak a message we understand
+            continue; // another peer may send a well-formed answer
         }
     }
-    // The greatest version first: the others then have nothing to add.
+    // Greatest version first, so that the others need not be pulled from.
     std::ranges::sort(answers, std::greater<>(),
                       [](const joined& each) { return each.answer.version; });
     for (const auto& [peer, answer] : answers)
     {
         m_mesh.members.learn_names(answer.services, answer.places);
-        // First, so that no member is met without what its release may get.
-        if (m_mesh.rollouts_heard && !answer.rollouts.empty())
-            m_mesh.rollouts_heard(answer.rollouts);
-        merge_all(answer.members, "join", spreading::none);
-        m_freshness.heard(answer.source_age_ms, steady_clock::now());
-        m_tables.must_reach(std::max(answer.version, answer.floor));
+        // Before the members, so that limits on a release's exposure are known
+        // when its targets are.
+        if (m_mesh.on_rollouts && !answer.rollouts.empty())
+            m_mesh.on_rollouts(answer.rollouts);
+        merge_all(answer.members, "join", propagation::none);
+        m_freshness.note_peer_read(answer.source_age_ms, steady_clock::now());
+        m_tables.note_version(
+            std::max(answer.version, answer.last_reported_version));
     }
     for (const auto& [peer, answer] : answers)
         if (answer.version > m_tables.current()->version())
@@ -122,32 +124,32 @@
 {
     const auto request = join_request_from_json(params);
     const auto& joiner = request.joiner.rpc;
-    merge(request.joiner, "join", spreading::none);
+    merge(request.joiner, "join", propagation::none);
     join_answer answer;
     answer.members = m_mesh.members.all();
     answer.services = m_mesh.members.services();
     answer.places = m_mesh.members.places();
-    if (m_mesh.rollouts_told)
-        answer.rollouts = m_mesh.rollouts_told();
+    if (m_mesh.rollouts_to_send)
+        answer.rollouts = m_mesh.rollouts_to_send();
     answer.version = m_tables.current()->version();
     answer.source_age_ms = m_freshness.age_ms(steady_clock::now());
     if (const auto seen = m_versions_seen.find(joiner);
         seen != m_versions_seen.end())
-        answer.floor = seen->second;
-    if (request.tell_others)
-        tell_of_join(joiner);
+        answer.last_reported_version = seen->second;
+    if (request.announce_to_others)
+        announce_join(joiner);
     return to_json(answer);
 }
 
-void membership_controller::tell_of_join(const address& joiner)
+void membership_controller::announce_join(const address& joiner)
 {
     const auto* record = m_mesh.members.find(joiner);
     if (record == nullptr)
         return;
-    if (gatherer())
-        tell_all({*record});
+    if (batching_member())
+        announce_to_all({*record});
     else
-        gather({*record});
+        add_to_batch({*record});
 }
 
 } // namespace tillerhall
--- a/src/node/source_controller.cpp
+++ b/src/node/source_controller.cpp
@@ -10,15 +10,18 @@
 namespace
 {
 
-constexpr milliseconds least_join_wait(100);
-constexpr milliseconds most_join_wait(5000);
-// A reader gives the pushes this long before it takes them for lost.
+constexpr milliseconds min_join_wait(100);
+constexpr milliseconds max_join_wait(5000);
+// A reader waits this long for a push before it reads a new version itself.
 constexpr milliseconds push_grace(300);
-// With no fresh read heard of for this many polls a node reads by itself.
+// A node that isn't a reader reads the source itself after this many polls
+// without a read by any node.
 constexpr int polls_before_reading = 5;
-// Up to so many versions behind, the records are read instead of the table.
-constexpr std::uint64_t most_records = 4;
-// Hosts change a few times an hour; a reader looks at the list now and then.
+// Up to this many versions behind, version records are read instead of the
+// table.
+constexpr std::uint64_t max_records_read = 4;
+// The host list changes rarely, so only one in this many reads of the head also
+// reads it.
 constexpr unsigned reads_per_host_list = 30;
 
 } // namespace
@@ -33,8 +36,8 @@
     , m_membership(membership)
     , m_store(store)
     , m_hosts(hosts)
-    , m_rate(static_cast<double>(mesh.config.source_reads_per_s),
-             static_cast<double>(mesh.config.source_reads_per_s))
+    , m_rate_limiter(static_cast<double>(mesh.config.source_reads_per_s),
+                     static_cast<double>(mesh.config.source_reads_per_s))
 {
 }
 
@@ -53,7 +56,7 @@
 
 void source_controller::join_loop()
 {
-    backoff waits(least_join_wait, most_join_wait);
+    backoff waits(min_join_wait, max_join_wait);
     while (!try_join())
         sleep_for(m_mesh.on.io(), waits.next(m_mesh.random));
     auto joining = node_phase::joining;
@@ -72,31 +75,31 @@
         if (each.rpc != m_mesh.members.self().rpc)
             peers.push_back(each.rpc);
     std::ranges::shuffle(peers, m_mesh.random);
-    const bool met_peers = m_membership.join_through(peers);
-    if (met_peers && m_tables.current()->version() > 0)
+    const bool joined = m_membership.join_through(peers);
+    if (joined && m_tables.current()->version() > 0)
         return is_caught_up();
-    if (met_peers && somebody_read_lately())
-        m_source_is_empty = true; // it would have given them a table
+    if (joined && is_recently_read())
+        m_source_is_empty = true; // else the peers would have a table
     else
     {
-        // Nobody has a table: ask the source, as often as its cap allows.
-        if (!met_peers)
+        // No peer has a table, so it is read from the source, rate limited.
+        if (!joined)
             read_hosts();
         read_source();
     }
     return is_caught_up();
 }
 
-bool source_controller::somebody_read_lately()
+bool source_controller::is_recently_read()
 {
     const auto age = m_membership.freshness().age_ms(steady_clock::now());
     return age >= 0 && age <= polls_before_reading * m_mesh.config.poll_ms;
 }
 
-bool source_controller::may_ask()
+bool source_controller::may_read()
 {
     const auto now = steady_clock::now();
-    return m_breaker.allows(now) && m_rate.take(now);
+    return m_breaker.allows(now) && m_rate_limiter.take(now);
 }
 
 void source_controller::note_outcome(const error* failed)
@@ -122,7 +125,7 @@
 
 void source_controller::read_hosts()
 {
-    if (!may_ask())
+    if (!may_read())
         return;
     const auto hosts = m_hosts.read();
     if (!hosts)
@@ -132,7 +135,7 @@
         if (!each.leaving && each.node != m_mesh.members.self().rpc)
             nodes.push_back(each.node);
     std::ranges::shuffle(nodes, m_mesh.random);
-    m_membership.hint(nodes);
+    m_membership.contact_unknown(nodes);
     if (m_mesh.board.phase == node_phase::joining)
         m_membership.join_through(nodes);
 }
@@ -145,8 +148,8 @@
         static_cast<std::size_t>(m_mesh.config.readers_per_domain);
     if (is_reader(m_mesh.members, per_domain))
         return true;
-    // Each node waits a little longer than the one before it would, so that
-    // the first to step in is heard of before the others follow.
+    // The jitter lets one node read first, so that the others learn of its read
+    // before they start reading, too.
     const auto poll = m_mesh.config.poll_ms;
     const auto jitter = static_cast<std::int64_t>(
         m_mesh.random.below(static_cast<std::uint64_t>(20 * poll)));
@@ -165,11 +168,11 @@
             m_mesh.on.io(),
             milliseconds(poll - poll / 10 + static_cast<std::int64_t>(jitter)));
         const bool reads = should_read();
-        if (reads != m_reading)
+        if (reads != m_is_reader)
             m_mesh.board.decisions.note(reads ? "became_reader"
                                               : "stopped_reading",
-                                        "source", "choice by rendezvous hash");
-        m_reading = reads;
+                                        "source", "chosen by rendezvous hash");
+        m_is_reader = reads;
         if (!reads)
             continue;
         read_source();
@@ -181,45 +184,45 @@
 
 void source_controller::read_source()
 {
-    if (!may_ask())
+    if (!may_read())
         return;
     const auto head = m_store.read_head();
     note_outcome(head ? nullptr : &head.reason());
     if (!head)
         return;
     m_source_is_empty = head->version == 0;
-    m_tables.must_reach(head->version);
-    const bool whole =
+    m_tables.note_version(head->version);
+    const bool reads_whole_table =
         m_tables.strategy().polling() == source_polling::whole_each_node;
-    if (whole && head->version > 0)
-        return read_whole(*head);
+    if (reads_whole_table && head->version > 0)
+        return read_table(*head);
     if (head->version > m_tables.current()->version())
-        read_newer(*head);
+        read_new_versions(*head);
 }
 
-void source_controller::read_newer(const table_head& head)
+void source_controller::read_new_versions(const table_head& head)
 {
     const bool pushed = m_tables.strategy().polling() == source_polling::none;
-    const auto have = m_tables.current()->version();
-    if (pushed && have > 0)
+    const auto before_wait = m_tables.current()->version();
+    if (pushed && before_wait > 0)
         sleep_for(m_mesh.on.io(), push_grace);
-    const auto behind = m_tables.current()->version();
-    if (head.version <= behind)
+    const auto current = m_tables.current()->version();
+    if (head.version <= current)
         return;
-    if (head.version - behind > most_records || behind == 0)
-        return read_whole(head);
-    for (auto version = behind + 1; version <= head.version; ++version)
+    if (head.version - current > max_records_read || current == 0)
+        return read_table(head);
+    for (auto version = current + 1; version <= head.version; ++version)
     {
         const auto record = m_store.read_version(version);
         note_outcome(record ? nullptr : &record.reason());
         if (!record)
             return;
-        take({record->version, record->digest, record->parent_digest,
-              record->accepted_us, record->changes, std::nullopt});
+        deliver({record->version, record->digest, record->parent_digest,
+                 record->accepted_us, record->changes, std::nullopt});
     }
 }
 
-void source_controller::read_whole(const table_head& head)
+void source_controller::read_table(const table_head& head)
 {
     const auto table = m_store.read_table(head.digest);
     note_outcome(table ? nullptr : &table.reason());
@@ -229,15 +232,15 @@
     if (head.version > m_tables.current()->version())
         if (const auto record = m_store.read_version(head.version))
             accepted_us = record->accepted_us;
-    take({head.version, head.digest, "", accepted_us, std::nullopt,
-          write_csv(*table)});
+    deliver({head.version, head.digest, "", accepted_us, std::nullopt,
+             write_csv(*table)});
 }
 
-void source_controller::take(const table_update& update)
+void source_controller::deliver(const table_update& update)
 {
-    // Introducing sends it to everyone, as the strategy says how.
+    // The strategy decides to whom the version is sent.
     if (update.version > m_tables.current()->version())
-        m_tables.introduce(update);
+        m_tables.distribute(update);
 }
 
 } // namespace tillerhall
--- a/src/observe/traffic.cpp
+++ b/src/observe/traffic.cpp
@@ -6,7 +6,7 @@
 {
 namespace
 {
-constexpr std::array<std::string_view, traffic_kinds> kind_names{
+constexpr std::array<std::string_view, traffic_kind_count> kind_names{
     "heartbeat", "delta", "snapshot", "source", "membership", "watch", "other"};
 
 std::size_t index_of(traffic_kind kind) noexcept
@@ -24,9 +24,9 @@
                            std::uint64_t in,
                            std::uint64_t out) noexcept
 {
-    auto& counted = m_kinds[index_of(kind)];
-    counted.in.fetch_add(in, std::memory_order_relaxed);
-    counted.out.fetch_add(out, std::memory_order_relaxed);
+    auto& counters = m_kinds[index_of(kind)];
+    counters.in.fetch_add(in, std::memory_order_relaxed);
+    counters.out.fetch_add(out, std::memory_order_relaxed);
 }
 
 std::uint64_t traffic_counters::bytes_in(traffic_kind kind) const noexcept
--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -8,41 +8,40 @@
 namespace
 {
 
-constexpr std::array<std::string_view, 5> verdict_names{
+constexpr std::array<std::string_view, 5> decision_names{
     "run", "wait", "rate_exceeded", "queue_full", "deadline_too_near"};
 
-// Weight of the newest run in the mean: runs differ by as much as their mean,
-// so over 32 of them the mean is known to some 12%.
-constexpr int mean_share = 32;
-constexpr double least_burst = 1;
-// One grant in so many goes to a less urgent rank that waits: it then gets a
-// fifth of the slots, a quarter of what the urgent one does.
+// The newest run time has a weight of 1 / mean_runs in the mean.
+constexpr int mean_runs = 32;
+constexpr double min_burst = 1;
+// One grant in this many goes to the next rank that waits, which thus gets a
+// fifth of the slots.
 constexpr unsigned less_urgent_every = 5;
-// A tenth of a second's worth may come at once.
+// The rate limit's burst, as seconds of its rate.
 constexpr double burst_seconds = 0.1;
 
-token_bucket bucket_for(double per_second)
+token_bucket make_bucket(double per_second)
 {
-    return {per_second, std::max(least_burst, per_second * burst_seconds)};
+    return {per_second, std::max(min_burst, per_second * burst_seconds)};
 }
 
 } // namespace
 
-std::string_view name_of(admission_verdict verdict) noexcept
+std::string_view name_of(admission_decision decision) noexcept
 {
-    return verdict_names[static_cast<std::size_t>(verdict)];
+    return decision_names[static_cast<std::size_t>(decision)];
 }
 
 admission::admission(admission_limits limits)
     : m_limits(limits)
-    , m_rate(bucket_for(limits.rate_per_s))
+    , m_rate(make_bucket(limits.rate_per_s))
 {
 }
 
 void admission::set_limits(const admission_limits& limits)
 {
     if (limits.rate_per_s != m_limits.rate_per_s)
-        m_rate = bucket_for(limits.rate_per_s);
+        m_rate = make_bucket(limits.rate_per_s);
     m_limits = limits;
 }
 
@@ -58,28 +57,28 @@
     return now + run_or_mean(run) < deadline;
 }
 
-admission_verdict admission::arrive(time_point now, const arriving_call& call)
+admission_decision admission::arrive(time_point now, const arriving_call& call)
 {
     if (!can_finish(now, call.deadline, call.run))
-        return admission_verdict::deadline_too_near;
+        return admission_decision::deadline_too_near;
     if (m_limits.rate_per_s > 0 && !m_rate.take(now))
-        return admission_verdict::rate_exceeded;
+        return admission_decision::rate_exceeded;
     if (m_in_flight < m_limits.in_flight && m_waiting == 0)
     {
         start_one();
-        return admission_verdict::run;
+        return admission_decision::run;
     }
     if (m_waiting >= m_limits.queue ||
         m_limits.queue_wait <= duration::zero() ||
-        expected_wait(call.rank, call.due) > call.most_wait)
-        return admission_verdict::queue_full;
-    return admission_verdict::wait;
+        expected_wait(call.rank, call.due) > call.max_wait)
+        return admission_decision::queue_full;
+    return admission_decision::wait;
 }
 
 void admission::start_one()
 {
     ++m_in_flight;
-    m_most_in_flight = std::max(m_most_in_flight, m_in_flight);
+    m_peak_in_flight = std::max(m_peak_in_flight, m_in_flight);
 }
 
 void admission::enqueue(admission_waiter& waiter)
@@ -107,9 +106,9 @@
 void admission::leave(time_point now, duration took)
 {
     --m_in_flight;
-    // The first runs count alike: a mean that grew from nothing would make a
-    // target that has just started look like the quickest one.
-    m_runs_counted = std::min(m_runs_counted + 1, mean_share);
+    // The first runs have equal weights: a mean that grows from zero would make
+    // a target that has just started seem the fastest.
+    m_runs_counted = std::min(m_runs_counted + 1, mean_runs);
     m_mean_run += (took - m_mean_run) / m_runs_counted;
     grant_free_slots(now);
 }
@@ -155,7 +154,7 @@
     auto& callers = queue->callers;
     std::erase_if(callers,
                   [](const auto& each) { return each.second.empty(); });
-    // The services in turn: the first one after the one served last.
+    // Round-robin: the first caller after the one served last.
     auto next = callers.upper_bound(queue->last_served);
     if (next == callers.end())
         next = callers.begin();
@@ -182,7 +181,7 @@
 {
     if (m_in_flight < m_limits.in_flight && m_waiting == 0)
         return duration::zero();
-    // With all places taken one gets free each mean run / places.
+    // If all slots are taken one becomes free every mean run time / slots.
     auto ahead = m_mean_run;
     for (const auto& [each, queue] : m_ranks)
         if (each <= rank)
--- a/src/routing/call_routes.cpp
+++ b/src/routing/call_routes.cpp
@@ -21,31 +21,31 @@
     return lower;
 }
 
-/** @return what is wrong with @p route, empty if nothing is. */
+/** @return what is wrong with @p route; empty if nothing is. */
 std::string fault_of(const call_route& route)
 {
     if (route.host.empty())
         return "has no host";
     if (route.path_prefix.empty() || route.path_prefix.front() != '/' ||
         route.path_prefix.back() != '/')
-        return "has a prefix that does not begin and end with a slash";
+        return "has a path prefix that does not begin and end with a slash";
     if (route.timeout <= milliseconds::zero())
         return "has no timeout";
-    if (route.most_targets == 0)
-        return "allows no target";
+    if (route.max_targets == 0)
+        return "allows no target for a call";
     if (route.shares.empty())
         return "names no service";
     const bool has_weight =
         std::ranges::any_of(route.shares, [](const service_share& each)
                             { return each.weight > 0; });
-    return has_weight ? "" : "gives no service any weight";
+    return has_weight ? "" : "gives no service a weight above 0";
 }
 
 error refusal(const call_route& route, const std::string& fault)
 {
     return error(error_code::invalid_argument,
                  "route \"" + route.name + "\" " + fault,
-                 "correct the route; the version before stays in force");
+                 "correct the route; the previous version remains in force");
 }
 
 } // namespace
@@ -89,7 +89,7 @@
     auto key = lower_host(host);
     const auto host_size = key.size();
     key += target.substr(0, target.find('?'));
-    // Prefixes end with a slash, so only cuts behind a slash can match.
+    // Prefixes end with a slash, so only positions after a slash can match.
     while (key.size() > host_size)
     {
         key.resize(key.rfind('/') + 1);
--- a/src/routing/target_board.cpp
+++ b/src/routing/target_board.cpp
@@ -13,45 +13,41 @@
 
 // Weight of the newest call in the decaying means.
 constexpr double newest_share = 0.1;
-// With this share of failures a target is set aside.
+// A target with this share of failures is set aside.
 constexpr double aside_share = 0.5;
-// What was seen of a target loses half its meaning in this time.
+// Half-life of what is known of a target.
 constexpr double half_life_s = 5;
 constexpr double warm_up_s = 5;
-// In the time of one run all places of a target are given anew, so what its
-// owner told holds for a small part of that. With words that hold 2, 1, 0.5,
-// 0.25 and 0.1 runs 17, 18, 14, 9 and 6% of the calls that a test plays meet a
-// full owner first; 19% without questions.
-constexpr double word_holds_runs = 0.1;
-// A target that is asked seldom, since it is on trial, is asked again after
-// about a run: what it told is not replaced by what others ask it.
-constexpr milliseconds full_holds(200);
-// Refusals tell of the present load, so a few calls are enough to judge by.
+// A load report is recent for this part of a mean run: within a run all slots
+// of a target are reassigned.
+constexpr double report_valid_runs = 0.1;
+// How long a report of a full canary target counts, about a run. Other calls
+// seldom go there, so no newer report replaces it.
+constexpr milliseconds full_report_valid(200);
+// Weight of the newest call in the share of refusals. They reflect the present
+// load, so few calls are enough.
 constexpr double refusal_share = 0.3;
-// A place whose targets all refuse or fail keeps this share of its weight,
-// so that its recovery is seen.
-constexpr double least_place_share = 0.1;
+// A failure domain whose targets all refuse or fail keeps this share of its
+// weight, so that its recovery is noticed.
+constexpr double min_place_share = 0.1;
 
-// One way and back between domains of a region, and between regions: the
-// users' networks, where a call within a domain takes 0.2 ms.
+// Round-trip times between domains of one region, and between regions.
 constexpr double domain_distance_ms = 4;
 constexpr double region_distance_ms = 40;
 
-// Bytes between domains cost money. A kilobyte weighs
-// about what an answer later by 10 ms does: 14,000 a GB against answers of
-// worth 1 of which some 0.1% more are late for each millisecond.
+// Traffic between domains costs money. One kilobyte is weighted like an answer
+// that is this much later.
 constexpr double ms_per_kb = 10;
-// Heads both ways. Bodies are counted apart: what is sent is known, of an
-// answer the mean of its class of work. Of a class that nothing is known of yet
-// an answer of the same size is taken.
+// Heads in both directions. Bodies are counted separately: the request's by its
+// size, the answer's by the mean of its class of work, or by the default below
+// if that is unknown.
 constexpr double heads_kb = 1;
 constexpr double unknown_answer_bytes = 1024;
 
-// What an owner told of its link holds for about the time of one body.
-constexpr milliseconds word_of_link_holds(100);
-// While a body fills a link, all other calls to that host wait behind it: at
-// the users some 30 a second and host, many of them short ones whose failure
-// fails a run elsewhere. So the time on the link counts for more than itself.
+// How long a report about a link is recent, about the time of one body.
+constexpr milliseconds link_report_valid(100);
+// While a body fills a link, all other calls to that host wait behind it, so
+// time on the link has a higher weight.
 constexpr double link_weight = 5;
 
 constexpr double kb = 1024;
@@ -73,15 +69,15 @@
     return std::chrono::duration<double>(span).count();
 }
 
-bool is_left(const member& target, const std::vector<address>& avoid)
+bool is_candidate(const member& target, const std::vector<address>& avoid)
 {
     return std::ranges::find(avoid, target.rpc) == avoid.end();
 }
 
-bool has_left(const place_route& place, const std::vector<address>& avoid)
+bool has_candidate(const place_route& place, const std::vector<address>& avoid)
 {
     return std::ranges::any_of(place.targets, [&](const member_ptr& each)
-                               { return is_left(*each, avoid); });
+                               { return is_candidate(*each, avoid); });
 }
 
 } // namespace
@@ -90,21 +86,21 @@
                                       const std::vector<address>& avoid,
                                       time_point now)
 {
-    if (!has_left(place, avoid))
+    if (!has_candidate(place, avoid))
         return 0;
     const auto well =
         std::ranges::count_if(place.targets,
                               [&](const member_ptr& each)
                               {
                                   const auto seen =
-                                      standing(record_of(each->rpc, now), now);
+                                      stats_of(record_of(each->rpc, now), now);
                                   return seen.recent_failures < aside_share &&
                                          seen.recent_refusals < aside_share;
                               });
     const auto share =
         static_cast<double>(well) / static_cast<double>(place.targets.size());
     return static_cast<double>(place.limits.weight) *
-           std::max(least_place_share, share);
+           std::max(min_place_share, share);
 }
 
 const place_route* target_board::choose_place(const service_route& route,
@@ -121,7 +117,7 @@
     {
         if (weights[i] <= 0)
             continue;
-        chosen = &route.places[i]; // the last one, should rounding pass it
+        chosen = &route.places[i]; // the last one if rounding exceeds the sum
         point -= weights[i];
         if (point < 0)
             break;
@@ -138,19 +134,19 @@
     return found;
 }
 
-target_standing target_board::standing(const record& of, time_point now) const
+target_stats target_board::stats_of(const record& target, time_point now) const
 {
-    target_standing seen;
-    seen.own_in_flight = of.in_flight;
-    const auto age = std::max(0.0, seconds(now - of.last_end));
+    target_stats seen;
+    seen.own_in_flight = target.in_flight;
+    const auto age = std::max(0.0, seconds(now - target.last_end));
     const auto fading = std::exp2(-age / half_life_s);
-    seen.recent_failures = of.failures * fading;
-    seen.recent_refusals = of.refusals * fading;
-    const auto word_age = std::max(0.0, seconds(now - of.told_at));
-    seen.owner_load = of.load * std::exp2(-word_age / half_life_s);
-    seen.latency_ms = of.latency_ms * fading;
-    seen.slots = of.slots;
-    seen.warmth = std::min(1.0, seconds(now - of.first_seen) / warm_up_s);
+    seen.recent_failures = target.failures * fading;
+    seen.recent_refusals = target.refusals * fading;
+    const auto report_age = std::max(0.0, seconds(now - target.reported_at));
+    seen.owner_load = target.load * std::exp2(-report_age / half_life_s);
+    seen.latency_ms = target.latency_ms * fading;
+    seen.slots = target.slots;
+    seen.warmth = std::min(1.0, seconds(now - target.first_seen) / warm_up_s);
     return seen;
 }
 
@@ -164,7 +160,7 @@
         return 0;
     constexpr double bits = 8;
     constexpr double bits_per_ms_and_mbps = 1000;
-    const bool asked = now < known.asked + word_of_link_holds;
+    const bool asked = now < known.asked + link_report_valid;
     const double ahead = asked ? known.incoming_bytes : 0;
     const double waits = asked ? known.round_trip_ms : 0;
     const double bytes = ahead + static_cast<double>(from.bytes);
@@ -178,9 +174,9 @@
 {
     if (to.link_mbps == 0 || bytes < link_schedule::large_bytes)
         return 0;
-    // Since it was told, the link has gone on.
+    // The link has sent some of the backlog since the report.
     const double left =
-        seconds(known.told_at + known.link_backlog - now) * 1000;
+        seconds(known.reported_at + known.link_backlog - now) * 1000;
     const double own = to_ms(
         link_schedule(to.link_mbps).time_of(static_cast<std::uint64_t>(bytes)));
     return std::max(0.0, left) + own;
@@ -211,7 +207,7 @@
     std::vector<member_ptr> left;
     std::ranges::copy_if(place->targets, std::back_inserter(left),
                          [&](const member_ptr& each)
-                         { return is_left(*each, avoid); });
+                         { return is_candidate(*each, avoid); });
     return chosen_target{pick(left, {}, now), place->limits};
 }
 
@@ -223,7 +219,7 @@
     std::vector<member_ptr> left;
     std::ranges::copy_if(candidates, std::back_inserter(left),
                          [&](const member_ptr& each)
-                         { return is_left(*each, avoid); });
+                         { return is_candidate(*each, avoid); });
     if (left.empty())
         return nullptr;
     const std::lock_guard lock(m_mutex);
@@ -235,33 +231,33 @@
                               time_point now)
 {
     const double answer = m_answers.of(from.work, unknown_answer_bytes);
-    std::vector<target_standing> standings;
+    std::vector<target_stats> stats;
     for (const auto& each : left)
     {
         const auto& known = record_of(each->rpc, now);
-        standings.push_back(standing(known, now));
+        stats.push_back(stats_of(known, now));
         if (const auto run = known.run_ms.find(from.work);
             run != known.run_ms.end())
-            standings.back().run_ms = run->second;
-        standings.back().distance_ms =
+            stats.back().run_ms = run->second;
+        stats.back().distance_ms =
             distance_ms(from, answer, each->place) +
             link_weight * link_ms(from, *each, known, now) +
             answer_link_ms(*each, known, answer, now);
     }
     std::vector<std::size_t> usable;
     for (std::size_t i = 0; i < left.size(); ++i)
-        if (standings[i].recent_failures < aside_share)
+        if (stats[i].recent_failures < aside_share)
             usable.push_back(i);
-    // If most look bad, the fault is as likely here as there: use all.
+    // If most targets seem bad, this node may be the cause: use all.
     if (usable.size() * 2 < left.size())
     {
         usable.resize(left.size());
         std::iota(usable.begin(), usable.end(), std::size_t{0});
     }
-    std::vector<target_standing> offered;
+    std::vector<target_stats> offered;
     for (const auto i : usable)
-        offered.push_back(standings[i]);
-    const auto picked = m_policy.choose(offered, m_turn++, m_random);
+        offered.push_back(stats[i]);
+    const auto picked = m_policy.choose(offered, m_choices++, m_random);
     return left[usable[picked]];
 }
 
@@ -276,8 +272,8 @@
     const std::lock_guard lock(m_mutex);
     const auto free = [&](const member_ptr& each)
     {
-        return is_left(*each, avoid) &&
-               standing(record_of(each->rpc, now), now).owner_load < 1;
+        return is_candidate(*each, avoid) &&
+               stats_of(record_of(each->rpc, now), now).owner_load < 1;
     };
     return std::ranges::any_of(route->places,
                                [&](const place_route& each) {
@@ -298,77 +294,79 @@
                          time_point now)
 {
     const std::lock_guard lock(m_mutex);
-    auto& of = record_of(owner, now);
-    if (of.in_flight > 0)
-        --of.in_flight;
-    if (call.verdict == call_verdict::unknown)
+    auto& target = record_of(owner, now);
+    if (target.in_flight > 0)
+        --target.in_flight;
+    if (call.outcome == target_call_outcome::unknown)
         return;
-    const double failed = call.verdict == call_verdict::failed ? 1 : 0;
-    of.failures += (failed - of.failures) * newest_share;
-    const double refused = call.verdict == call_verdict::refused ? 1 : 0;
-    of.refusals += (refused - of.refusals) * refusal_share;
-    if (call.verdict == call_verdict::failed)
-        of.failures = std::max(of.failures, aside_share);
+    const double failed = call.outcome == target_call_outcome::failed ? 1 : 0;
+    target.failures += (failed - target.failures) * newest_share;
+    const double refused = call.outcome == target_call_outcome::refused ? 1 : 0;
+    target.refusals += (refused - target.refusals) * refusal_share;
+    if (call.outcome == target_call_outcome::failed)
+        target.failures = std::max(target.failures, aside_share);
     if (call.answer_bytes > 0)
         m_answers.answered(call.work, call.answer_bytes);
-    if (call.verdict == call_verdict::good)
-        of.latency_ms +=
-            (seconds(call.took) * 1000 - of.latency_ms) * newest_share;
-    take_word(of, call.told, now);
-    if (call.told.run_ms > 0)
-        of.run_ms[call.work] = call.told.run_ms;
-    if (!call.told.load && call.verdict == call_verdict::refused)
+    if (call.outcome == target_call_outcome::good)
+        target.latency_ms +=
+            (seconds(call.took) * 1000 - target.latency_ms) * newest_share;
+    take_report(target, call.report, now);
+    if (call.report.run_ms > 0)
+        target.run_ms[call.work] = call.report.run_ms;
+    if (!call.report.load && call.outcome == target_call_outcome::refused)
     {
-        of.load = std::max(of.load, 1.0);
-        of.told_at = now;
+        target.load = std::max(target.load, 1.0);
+        target.reported_at = now;
     }
-    of.last_end = now;
+    target.last_end = now;
 }
 
-void target_board::take_word(record& of, const owner_word& word, time_point now)
+void target_board::take_report(record& target,
+                               const load_report& report,
+                               time_point now)
 {
-    if (word.slots > 0)
-        of.slots = word.slots;
-    if (!word.load)
+    if (report.slots > 0)
+        target.slots = report.slots;
+    if (!report.load)
         return;
-    of.load = *word.load;
-    of.link_backlog = word.link_backlog;
-    of.told_at = now;
+    target.load = *report.load;
+    target.link_backlog = report.link_backlog;
+    target.reported_at = now;
 }
 
-owner_outlook target_board::outlook(const member& owner,
-                                    const call_origin& from,
-                                    time_point now)
+owner_estimate target_board::estimate(const member& owner,
+                                      const call_origin& from,
+                                      time_point now)
 {
     const std::lock_guard lock(m_mutex);
     const auto& known = record_of(owner.rpc, now);
-    owner_outlook seen;
+    owner_estimate seen;
     seen.is_near = from.place != nullptr && *from.place == owner.place;
     const auto run = known.run_ms.find(from.work);
     const double run_ms = run == known.run_ms.end() ? 0 : run->second;
-    const double age_ms = seconds(now - known.told_at) * 1000;
-    seen.is_known = age_ms < word_holds_runs * run_ms;
-    seen.has_room = has_free_place(known);
+    const double age_ms = seconds(now - known.reported_at) * 1000;
+    seen.is_known = age_ms < report_valid_runs * run_ms;
+    seen.has_room = has_free_slot(known);
     return seen;
 }
 
-bool target_board::has_free_place(const record& of)
+bool target_board::has_free_slot(const record& target)
 {
-    const double own = of.slots > 0 ? of.in_flight / of.slots : 0;
-    return std::max(of.load, own) < 1 && of.failures < aside_share;
+    const double own = target.slots > 0 ? target.in_flight / target.slots : 0;
+    return std::max(target.load, own) < 1 && target.failures < aside_share;
 }
 
 bool target_board::has_room(const address& owner)
 {
     const std::lock_guard lock(m_mutex);
-    return has_free_place(m_records[owner]);
+    return has_free_slot(m_records[owner]);
 }
 
 bool target_board::seems_full(const address& owner, time_point now)
 {
     const std::lock_guard lock(m_mutex);
     const auto& known = m_records[owner];
-    return now < known.told_at + full_holds && !has_free_place(known);
+    return now < known.reported_at + full_report_valid && !has_free_slot(known);
 }
 
 double target_board::answer_bytes(const work_class& work)
@@ -377,20 +375,20 @@
     return m_answers.of(work, 0);
 }
 
-void target_board::told(const address& owner,
-                        const owner_word& word,
-                        duration round_trip,
-                        time_point now)
+void target_board::record_report(const address& owner,
+                                 const load_report& report,
+                                 duration round_trip,
+                                 time_point now)
 {
     const std::lock_guard lock(m_mutex);
-    auto& of = record_of(owner, now);
-    take_word(of, word, now);
-    // It has room again, whatever it refused before.
-    if (word.load && *word.load < 1)
-        of.refusals = 0;
-    of.round_trip_ms = seconds(round_trip) * 1000;
-    of.incoming_bytes = static_cast<double>(word.incoming_bytes);
-    of.asked = now;
+    auto& target = record_of(owner, now);
+    take_report(target, report, now);
+    // It has free slots again, whatever it refused before.
+    if (report.load && *report.load < 1)
+        target.refusals = 0;
+    target.round_trip_ms = seconds(round_trip) * 1000;
+    target.incoming_bytes = static_cast<double>(report.incoming_bytes);
+    target.asked = now;
 }
 
 void target_board::count_call(const std::string& service, std::int64_t percent)
--- a/standins/target/main.cpp
+++ b/standins/target/main.cpp
@@ -1,5 +1,5 @@
-/** @file Stand-in for a target: slots, shedding, drain, faults, run counts. */
-#include "target_state.hpp"
+/** @file Stand-in for a target, with injected faults and run counts. */
+#include "target_standin.hpp"
 
 #include "tillerhall/core/worker.hpp"
 #include "tillerhall/http/listener.hpp"
@@ -16,34 +16,36 @@
 
 int run(const cxxopts::ParseResult& given)
 {
-    const auto where = address::parse(given["listen"].as<std::string>());
-    if (!where)
+    const auto listen_address =
+        address::parse(given["listen"].as<std::string>());
+    if (!listen_address)
     {
-        std::cerr << where.reason().message() << "\n";
+        std::cerr << listen_address.reason().message() << "\n";
         return 2;
     }
-    worker runs;
-    auto opened = listener::open(runs, *where);
+    worker main_worker;
+    auto opened = listener::open(main_worker, *listen_address);
     if (!opened)
     {
         std::cerr << opened.reason().message() << "\n";
         return 3;
     }
     const auto local = (*opened)->local().text();
-    target_state_standin target(runs, local);
+    target_standin target(main_worker, local);
     boost::system::error_code failed;
     const auto behaviour =
         boost::json::parse(given["behave"].as<std::string>(), failed);
     if (failed || !behaviour.is_object() ||
         !target.set_behaviour(behaviour.as_object()))
     {
-        std::cerr << "--behave is not an object of known numbers\n";
+        std::cerr
+            << "--behave must be a JSON object with known names and numbers\n";
         return 2;
     }
     (*opened)->start([&](tcp_stream& stream) { target.serve(stream); });
     std::cout << R"({"event":"listening","address":")" << local << "\"}"
               << std::endl;
-    runs.run();
+    main_worker.run();
     return 0;
 }
 
--- a/tests/unit/call_routes.cpp
+++ b/tests/unit/call_routes.cpp
@@ -31,10 +31,10 @@
     return *made;
 }
 
-/** What `find` must give, written without any index. */
-const call_route* plain_find(const call_routes& routes,
-                             const std::string& host,
-                             const std::string& path)
+/** The expected result of `find`, by a linear search. */
+const call_route* linear_find(const call_routes& routes,
+                              const std::string& host,
+                              const std::string& path)
 {
     const call_route* best = nullptr;
     for (const auto& each : routes.routes())
@@ -45,10 +45,10 @@
     return best;
 }
 
-std::string random_path(int most_parts)
+std::string random_path(int max_parts)
 {
     std::string path = "/";
-    const auto parts = *rc::gen::inRange(0, most_parts);
+    const auto parts = *rc::gen::inRange(0, max_parts);
     for (int i = 0; i < parts; ++i)
         path +=
             std::string(1, static_cast<char>('a' + *rc::gen::inRange(0, 3))) +
@@ -60,7 +60,7 @@
 
 TEST_CASE("the route with the longest prefix of host and path is found")
 {
-    rc::prop("as a plain search finds it",
+    rc::prop("matches a linear search",
              []
              {
                  std::map<std::string, call_route> made;
@@ -79,11 +79,12 @@
                  const auto routes = built(list);
                  const auto path = random_path(5) + "leaf";
                  RC_ASSERT(routes->find("h0", path) ==
-                           plain_find(*routes, "h0", path));
+                           linear_find(*routes, "h0", path));
              });
 }
 
-TEST_CASE("port, case and query do not matter, other hosts and paths do")
+TEST_CASE(
+    "port, case and query are ignored; other hosts and paths do not match")
 {
     const auto routes = built({route_to("a", "Shop.Example", "/x/")});
     CHECK(routes->find("shop.example:8080", "/x/y?to=/z/") != nullptr);
@@ -94,7 +95,7 @@
     CHECK(routes->find("", "") == nullptr);
 }
 
-TEST_CASE("a version with one bad route is refused whole")
+TEST_CASE("one invalid route makes the whole version invalid")
 {
     struct bad_route
     {
@@ -106,7 +107,7 @@
         {"prefix without end", [](call_route& r) { r.path_prefix = "/x"; }},
         {"prefix without begin", [](call_route& r) { r.path_prefix = "x/"; }},
         {"no timeout", [](call_route& r) { r.timeout = milliseconds(0); }},
-        {"no target", [](call_route& r) { r.most_targets = 0; }},
+        {"no target", [](call_route& r) { r.max_targets = 0; }},
         {"no service", [](call_route& r) { r.shares.clear(); }},
         {"no weight",
          [](call_route& r) {
@@ -126,9 +127,9 @@
     }
 }
 
-TEST_CASE("shares keep their weights over short spans")
+TEST_CASE("weights are kept over short spans")
 {
-    rc::prop("any 100 calls in a row stray by less than 4",
+    rc::prop("100 consecutive calls deviate by less than 4",
              []
              {
                  call_route route = route_to("r", "h", "/");
@@ -145,7 +146,7 @@
              });
 }
 
-TEST_CASE("a share without weight gets no call")
+TEST_CASE("a share of weight 0 gets no call")
 {
     auto route = route_to("r", "h", "/");
     route.shares = {{"a", 0}, {"b", 3}};
@@ -154,26 +155,26 @@
         CHECK(shares.next(route) == "b");
 }
 
-TEST_CASE("short calls are told by the objectives in use")
+TEST_CASE("short calls are recognized by the objectives in use")
 {
     objectives_in_use seen;
     CHECK(seen.longest() == milliseconds(0));
     for (int i = 0; i < 90; ++i)
-        seen.saw(milliseconds(i % 3 == 0 ? 250 : 60));
+        seen.count_call(milliseconds(i % 3 == 0 ? 250 : 60));
     CHECK(seen.longest() == milliseconds(250));
     CHECK(seen.is_short(milliseconds(60)));
     CHECK_FALSE(seen.is_short(milliseconds(150)));
 }
 
-TEST_CASE("a route that hardly any call takes does not make the others short")
+TEST_CASE("the objective of a route with hardly any calls does not count")
 {
     objectives_in_use seen;
     for (int i = 0; i < 5'000; ++i)
-        seen.saw(milliseconds(i % 100 == 0 ? 1'000 : 250));
+        seen.count_call(milliseconds(i % 100 == 0 ? 1'000 : 250));
     CHECK(seen.longest() == milliseconds(250));
     CHECK_FALSE(seen.is_short(milliseconds(250)));
-    // Once calls take it, it counts, and those before fade.
+    // With more calls it counts, and older calls lose weight.
     for (int i = 0; i < 5'000; ++i)
-        seen.saw(milliseconds(1'000));
+        seen.count_call(milliseconds(1'000));
     CHECK(seen.is_short(milliseconds(250)));
 }
--- a/tests/unit/client_accounts.cpp
+++ b/tests/unit/client_accounts.cpp
@@ -1,8 +1,9 @@
-/** @file Who holds which key, and what a call without one may do.
+/**
+ * @file Client keys and accounts, and calls without a key.
  *
- * The story: keys were passed on to targets and none was ever asked for, so
- * 6,698 to 19,328 calls of a day ran with the client's key and for no account,
- * and calls with keys that no version ever held ran as well. */
+ * Guards against calls that run without a valid key although the version
+ * requires one.
+ */
 #include "tillerhall/proxy/caller_check.hpp"
 
 #include <boost/beast/http.hpp>
@@ -59,7 +60,7 @@
 
 } // namespace
 
-TEST_CASE("a key tells its account, and no other text does")
+TEST_CASE("an account is found by its keys only")
 {
     const auto accounts = client_accounts::build(
         {entry_of("bakkerij", {"k1", "k2"}), entry_of("molen", {"k3"})});
@@ -71,20 +72,21 @@
         CHECK((*accounts)->holder_of(each) == nullptr);
 }
 
-TEST_CASE("odd accounts refuse the whole version, and the fault is named")
+TEST_CASE(
+    "an invalid account makes the whole version invalid; the error names why")
 {
-    struct odd_accounts
+    struct invalid_accounts
     {
         const char* named;
         std::vector<account_entry> entries;
     };
-    const std::vector<odd_accounts> table{
+    const std::vector<invalid_accounts> table{
         {"no name", {entry_of("", {"k"})}},
         {"twice", {entry_of("a", {"k"}), entry_of("a", {"l"})}},
         {"another account", {entry_of("a", {"k"}), entry_of("b", {"k"})}},
         {"empty key", {entry_of("a", {""})}},
         {"negative", {entry_of("a", {"k"}, -1)}},
-        {"line of text", {entry_of("a\r\nX: y", {"k"})}}};
+        {"control character", {entry_of("a\r\nX: y", {"k"})}}};
     for (const auto& each : table)
     {
         const auto built = client_accounts::build(each.entries);
@@ -93,50 +95,49 @@
     }
 }
 
-TEST_CASE("who may call, by key, route and what runs here")
+TEST_CASE("the caller's standing follows from key, route and known runs")
 {
-    using standing = caller_standing;
+    using status = caller_status;
     const auto routes =
         routes_with(*client_accounts::build({entry_of("bakkerij", {"k1"})}));
-    struct played_call
+    struct test_call
     {
         const char* path;
         std::vector<std::string> fields;
         caller_evidence evidence;
-        standing expected;
+        status expected;
     };
-    const std::vector<played_call> table{
-        {"/closed/x", {"Bearer k1"}, {}, standing::account},
-        {"/closed/x", {"bearer k1"}, {}, standing::account},
-        {"/open/x", {"Bearer k1"}, {}, standing::account},
-        {"/open/x", {}, {}, standing::anyone},
-        {"/open/x", {"Bearer k9"}, {}, standing::not_known},
-        {"/closed/x", {}, {}, standing::not_known},
-        {"/closed/x", {"Bearer k9"}, {}, standing::not_known},
-        {"/closed/x", {"Bearer"}, {}, standing::not_known},
-        {"/closed/x", {"Bearer "}, {}, standing::not_known},
-        {"/closed/x", {"Basic k1"}, {}, standing::not_known},
-        {"/closed/x", {"k1"}, {}, standing::not_known},
-        {"/closed/x", {"Bearer k1", "Bearer k1"}, {}, standing::not_known},
-        {"/closed/x", {std::string(16'000, 'x')}, {}, standing::not_known},
-        {"/closed/x", {}, {true, true}, standing::target},
-        // Only a run that is known here is proof; its form alone is not.
-        {"/closed/x", {}, {false, true}, standing::unproved},
-        {"/closed/x", {"Bearer k9"}, {true, true}, standing::not_known}};
+    const std::vector<test_call> table{
+        {"/closed/x", {"Bearer k1"}, {}, status::account},
+        {"/closed/x", {"bearer k1"}, {}, status::account},
+        {"/open/x", {"Bearer k1"}, {}, status::account},
+        {"/open/x", {}, {}, status::anonymous},
+        {"/open/x", {"Bearer k9"}, {}, status::unauthenticated},
+        {"/closed/x", {}, {}, status::unauthenticated},
+        {"/closed/x", {"Bearer k9"}, {}, status::unauthenticated},
+        {"/closed/x", {"Bearer"}, {}, status::unauthenticated},
+        {"/closed/x", {"Bearer "}, {}, status::unauthenticated},
+        {"/closed/x", {"Basic k1"}, {}, status::unauthenticated},
+        {"/closed/x", {"k1"}, {}, status::unauthenticated},
+        {"/closed/x", {"Bearer k1", "Bearer k1"}, {}, status::unauthenticated},
+        {"/closed/x", {std::string(16'000, 'x')}, {}, status::unauthenticated},
+        {"/closed/x", {}, {true, true}, status::target},
+        // Only a run that is known at this node verifies the caller.
+        {"/closed/x", {}, {false, true}, status::unverified},
+        {"/closed/x", {"Bearer k9"}, {true, true}, status::unauthenticated}};
     for (const auto& each : table)
     {
         CAPTURE(each.path, each.fields);
         const auto found =
             identify(*routes, each.path, each.fields, each.evidence);
-        CHECK(found.standing == each.expected);
-        CHECK(found.may_call() == (each.expected != standing::not_known &&
-                                   each.expected != standing::unproved));
-        CHECK((found.account != nullptr) ==
-              (each.expected == standing::account));
+        CHECK(found.status == each.expected);
+        CHECK(found.may_call() == (each.expected != status::unauthenticated &&
+                                   each.expected != status::unverified));
+        CHECK((found.account != nullptr) == (each.expected == status::account));
     }
 }
 
-TEST_CASE("a version without accounts asks for no key")
+TEST_CASE("a version without accounts requires no key")
 {
     const auto routes = routes_with(nullptr);
     CHECK(identify(*routes, "/closed/x", {}).may_call());
--- a/tests/unit/load_inquiry.cpp
+++ b/tests/unit/load_inquiry.cpp
@@ -1,4 +1,4 @@
-/** @file Which owners are asked for their load, and what asking gains. */
+/** @file Selection of owners to ask for their load, and its effect. */
 #include "tillerhall/routing/load_inquiry.hpp"
 #include "tillerhall/routing/target_board.hpp"
 
@@ -17,69 +17,69 @@
 
 const time_point start = time_point{} + std::chrono::hours(1);
 
-std::vector<owner_outlook> owners(std::size_t near, std::size_t far)
+std::vector<owner_estimate> owners(std::size_t near, std::size_t far)
 {
-    std::vector<owner_outlook> made(near + far);
+    std::vector<owner_estimate> made(near + far);
     std::for_each_n(made.begin(), near,
-                    [](owner_outlook& each) { each.is_near = true; });
+                    [](owner_estimate& each) { each.is_near = true; });
     return made;
 }
 
 } // namespace
 
-TEST_CASE("the favourite, an owner of the own domain and one of another are "
+TEST_CASE("the preferred owner, one of the own domain and one of another are "
           "asked")
 {
     load_inquiry inquiry;
     random_source random(1);
     const auto all = owners(20, 80);
-    for (const std::size_t favourite : {5U, 70U})
+    for (const std::size_t preferred : {5U, 70U})
     {
-        const auto asked = inquiry.whom_to_ask(all, favourite, start, random);
+        const auto asked = inquiry.owners_to_ask(all, preferred, start, random);
         REQUIRE(asked.size() == 3);
-        CHECK(asked[0] == favourite);
+        CHECK(asked[0] == preferred);
         CHECK(all[asked[1]].is_near);
         CHECK_FALSE(all[asked[2]].is_near);
     }
 }
 
-TEST_CASE("a domain with few owners leaves its questions to the others")
+TEST_CASE("without owners in the own domain more of other domains are asked")
 {
     load_inquiry inquiry;
     random_source random(1);
-    CHECK(inquiry.whom_to_ask(owners(0, 20), 0, start, random).size() == 3);
+    CHECK(inquiry.owners_to_ask(owners(0, 20), 0, start, random).size() == 3);
 }
 
-TEST_CASE("nobody is asked in a small service or where enough is known")
+TEST_CASE("no owner is asked in a small service or if enough is known")
 {
     load_inquiry inquiry;
     random_source random(1);
     CHECK(inquiry
-              .whom_to_ask(owners(2, load_inquiry::small_service - 2), 0, start,
-                           random)
+              .owners_to_ask(owners(2, load_inquiry::small_service - 2), 0,
+                             start, random)
               .empty());
     auto all = owners(20, 80);
     for (const auto i : {3U, 70U})
         all[i].is_known = all[i].has_room = true;
-    CHECK(inquiry.whom_to_ask(all, 0, start, random).empty());
+    CHECK(inquiry.owners_to_ask(all, 0, start, random).empty());
     all[3].has_room = false;
-    CHECK_FALSE(inquiry.whom_to_ask(all, 0, start, random).empty());
+    CHECK_FALSE(inquiry.owners_to_ask(all, 0, start, random).empty());
 }
 
-TEST_CASE("who is known to be full or did not answer is not asked")
+TEST_CASE("owners with a recent report or without an answer are not asked")
 {
     load_inquiry inquiry;
     random_source random(1);
     auto all = owners(10, 10);
     for (auto& each : all)
-        (each.is_near ? each.is_known : each.is_left_out) = true;
-    CHECK(inquiry.whom_to_ask(all, 0, start, random).empty());
+        (each.is_near ? each.is_known : each.is_excluded) = true;
+    CHECK(inquiry.owners_to_ask(all, 0, start, random).empty());
     all[4].is_known = false;
-    CHECK(inquiry.whom_to_ask(all, 0, start, random) ==
+    CHECK(inquiry.owners_to_ask(all, 0, start, random) ==
           std::vector<std::size_t>{4});
 }
 
-TEST_CASE("where most owners are full few calls ask one, and all again later")
+TEST_CASE("while most owners are full only some calls ask, and only one owner")
 {
     load_inquiry inquiry;
     random_source random(1);
@@ -89,27 +89,29 @@
     std::size_t asked = 0;
     for (int i = 0; i < 100; ++i)
         asked +=
-            inquiry.whom_to_ask(all, 0, start + std::chrono::seconds(i), random)
+            inquiry
+                .owners_to_ask(all, 0, start + std::chrono::seconds(i), random)
                 .size();
     CHECK(asked > 10);
     CHECK(asked < 40);
     for (int i = 0; i < 20; ++i)
         inquiry.answered(false);
-    CHECK(inquiry.whom_to_ask(all, 0, start + std::chrono::seconds(200), random)
-              .size() == 3);
+    CHECK(
+        inquiry.owners_to_ask(all, 0, start + std::chrono::seconds(200), random)
+            .size() == 3);
 }
 
-TEST_CASE("the questions of a node stay below their rate")
+TEST_CASE("load queries of a node are rate-limited")
 {
     load_inquiry inquiry;
     random_source random(1);
     const auto all = owners(20, 80);
     std::size_t asked = 0;
     for (int ms = 0; ms < 10'000; ++ms) // a thousand calls a second
-        asked += inquiry.whom_to_ask(all, 0, start + milliseconds(ms), random)
+        asked += inquiry.owners_to_ask(all, 0, start + milliseconds(ms), random)
                      .size();
-    CHECK(asked <= 10 * load_inquiry::questions_per_s +
-                       load_inquiry::question_burst + 1);
+    CHECK(asked <=
+          10 * load_inquiry::queries_per_s + load_inquiry::query_burst + 1);
 }
 
 namespace
@@ -117,26 +119,26 @@
 
 constexpr std::size_t entry_count = 40;
 constexpr std::size_t owner_count = 40;
-constexpr double places = 8;
+constexpr double slots = 8;
 constexpr work_class work{0, milliseconds(1'500), call_kind::repeatable};
 const member_place here{"r", "a"};
 
-struct played_owner
+struct simulated_owner
 {
     double running = 0;
     double run_ms = 0; ///< mean
 };
 
-/** What became of the calls of a played service. */
-struct played_calls
+/** Results of the calls of a simulated service. */
+struct simulated_calls
 {
     double refused = 0; ///< share whose first owner was full
-    double run_ms = 0;  ///< mean run of the others
+    double run_ms = 0;  ///< mean run time of the others
 };
 
-struct played_entry
+struct simulated_entry
 {
-    explicit played_entry(std::uint64_t seed)
+    explicit simulated_entry(std::uint64_t seed)
         : board(**find_policy("least_time"), seed)
     {
     }
@@ -146,14 +148,14 @@
 };
 
 /**
- * Entries that call a service of 40 targets with 8 places each and mean runs of
- * 258 to 602 ms, at @p load of what these can run.
+ * Simulates entries that call a service of 40 targets with 8 slots each and
+ * mean run times of 258 to 602 ms, at @p load of their capacity.
  */
-played_calls play_service(bool asks, double load)
+simulated_calls simulate_service(bool asks, double load)
 {
     random_source random(5);
     std::vector<member_ptr> all;
-    std::map<address, played_owner> state;
+    std::map<address, simulated_owner> state;
     for (std::uint16_t i = 0; i < owner_count; ++i)
     {
         auto made = std::make_shared<member>();
@@ -162,27 +164,27 @@
         all.push_back(made);
         state[made->rpc].run_ms = 430 * (0.6 + 0.2 * (i % 5));
     }
-    std::vector<std::unique_ptr<played_entry>> entries;
+    std::vector<std::unique_ptr<simulated_entry>> entries;
     for (std::size_t i = 0; i < entry_count; ++i)
-        entries.push_back(std::make_unique<played_entry>(i + 1));
+        entries.push_back(std::make_unique<simulated_entry>(i + 1));
     struct end
     {
-        played_entry* entry;
+        simulated_entry* entry;
         address owner;
         duration took;
     };
     std::multimap<time_point, end> ends;
     const address own{"10.0.0.2", 1};
     const call_origin from{&here, &own, 0, work};
-    const auto word = [&](const address& owner)
+    const auto report_of = [&](const address& owner)
     {
-        owner_word told;
-        told.load = state[owner].running / places;
-        told.slots = places;
-        told.run_ms = state[owner].run_ms;
-        return told;
+        load_report report;
+        report.load = state[owner].running / slots;
+        report.slots = slots;
+        report.run_ms = state[owner].run_ms;
+        return report;
     };
-    const double per_s = load * owner_count * places / 0.43;
+    const double per_s = load * owner_count * slots / 0.43;
     int calls = 0;
     int refused = 0;
     double run_ms = 0;
@@ -196,46 +198,47 @@
             const auto [at, done] = *ends.begin();
             ends.erase(ends.begin());
             --state[done.owner].running;
-            done.entry->board.ended(
-                done.owner,
-                {call_verdict::good, done.took, word(done.owner), work, 100},
-                at);
+            done.entry->board.ended(done.owner,
+                                    {target_call_outcome::good, done.took,
+                                     report_of(done.owner), work, 100},
+                                    at);
         }
         auto& entry = *entries[random.below(entry_count)];
         std::vector<member_ptr> informed;
-        std::vector<owner_outlook> outlooks;
+        std::vector<owner_estimate> estimates;
         for (const auto& each : all)
-            outlooks.push_back(entry.board.outlook(*each, from, now));
+            estimates.push_back(entry.board.estimate(*each, from, now));
         const auto remembered = entry.board.choose_among(all, {}, from, now);
-        const auto favourite = static_cast<std::size_t>(
+        const auto preferred = static_cast<std::size_t>(
             std::ranges::find(all, remembered) - all.begin());
         if (asks)
             for (const auto i :
-                 entry.inquiry.whom_to_ask(outlooks, favourite, now, random))
+                 entry.inquiry.owners_to_ask(estimates, preferred, now, random))
             {
-                const auto told = word(all[i]->rpc);
-                entry.board.told(all[i]->rpc, told, milliseconds(3), now);
-                entry.inquiry.answered(*told.load >= 1);
-                if (*told.load < 1)
+                const auto report = report_of(all[i]->rpc);
+                entry.board.record_report(all[i]->rpc, report, milliseconds(3),
+                                          now);
+                entry.inquiry.answered(*report.load >= 1);
+                if (*report.load < 1)
                     informed.push_back(all[i]);
             }
         for (std::size_t i = 0; asks && i < all.size(); ++i)
-            if (outlooks[i].is_known && outlooks[i].has_room)
+            if (estimates[i].is_known && estimates[i].has_room)
                 informed.push_back(all[i]);
         const auto owner =
             informed.empty()
                 ? remembered
                 : entry.board.choose_among(informed, {}, from, now);
         auto& chosen = state[owner->rpc];
-        const bool counts = ms > 3'000; // by then all have seen something
+        const bool counts = ms > 3'000; // ignores the warm-up
         calls += counts ? 1 : 0;
         entry.board.started(owner->rpc);
-        if (chosen.running >= places)
+        if (chosen.running >= slots)
         {
             refused += counts ? 1 : 0;
             entry.board.ended(owner->rpc,
-                              {call_verdict::refused, milliseconds(3),
-                               word(owner->rpc), work, 0},
+                              {target_call_outcome::refused, milliseconds(3),
+                               report_of(owner->rpc), work, 0},
                               now);
             continue;
         }
@@ -250,19 +253,19 @@
 
 } // namespace
 
-TEST_CASE("entries that ask find room where those that remember do not")
+TEST_CASE("with load queries fewer calls meet a full owner")
 {
-    const auto asking = play_service(true, 0.85);
-    const auto remembering = play_service(false, 0.85);
-    CAPTURE(asking.refused, remembering.refused);
-    CHECK(remembering.refused > 0.15);
-    CHECK(asking.refused < remembering.refused / 2);
+    const auto asking = simulate_service(true, 0.85);
+    const auto without = simulate_service(false, 0.85);
+    CAPTURE(asking.refused, without.refused);
+    CHECK(without.refused > 0.15);
+    CHECK(asking.refused < without.refused / 2);
 }
 
-TEST_CASE("on a quiet day entries that ask still choose the fast targets")
+TEST_CASE("at low load entries with load queries still choose the fast targets")
 {
-    const auto asking = play_service(true, 0.3);
-    const auto remembering = play_service(false, 0.3);
-    CAPTURE(asking.run_ms, remembering.run_ms);
-    CHECK(asking.run_ms < remembering.run_ms * 1.1);
+    const auto asking = simulate_service(true, 0.3);
+    const auto without = simulate_service(false, 0.3);
+    CAPTURE(asking.run_ms, without.run_ms);
+    CHECK(asking.run_ms < without.run_ms * 1.1);
 }
--- a/tests/unit/routing.cpp
+++ b/tests/unit/routing.cpp
@@ -67,7 +67,7 @@
              });
 }
 
-TEST_CASE("every policy obeys weights, avoids what was tried, and finds nobody")
+TEST_CASE("every policy obeys weights and chooses no target twice for a call")
 {
     for (const auto* policy : policies())
     {
@@ -94,7 +94,7 @@
     }
 }
 
-TEST_CASE("two choices turns from a slow and from a failing target")
+TEST_CASE("two_choices avoids a slow and a failing target")
 {
     target_board board(**find_policy("two_choices"), 5);
     const auto routes = make_routes(1, 0);
@@ -106,7 +106,7 @@
             const address node{"127.0.0.1", port};
             board.started(node);
             board.ended(node,
-                        {call_verdict::good,
+                        {target_call_outcome::good,
                          milliseconds(node == slow ? 100 : 2),
                          {},
                          {}},
@@ -116,15 +116,16 @@
     for (int i = 0; i < 1000; ++i)
         to_slow += board.choose(routes, "s", {}, now)->owner->rpc == slow;
     CHECK(to_slow < 50);
-    // If all look bad, all are used.
+    // If all targets fail, all are used.
     for (std::uint16_t port = 1; port <= 5; port += 2)
         for (int i = 0; i < 50; ++i)
             board.ended({"127.0.0.1", port},
-                        {call_verdict::failed, milliseconds(1), {}, {}}, now);
+                        {target_call_outcome::failed, milliseconds(1), {}, {}},
+                        now);
     CHECK(board.choose(routes, "s", {}, now));
 }
 
-TEST_CASE("with every other target full there is no room to try again")
+TEST_CASE("there is no room for a retry if every other target is full")
 {
     target_board board(**find_policy("two_choices"), 5);
     const auto routes = make_routes(1, 1);
@@ -132,7 +133,8 @@
     const auto fill = [&](std::uint16_t port, double load)
     {
         board.ended({"127.0.0.1", port},
-                    {call_verdict::refused, milliseconds(1), {load}, {}}, now);
+                    {target_call_outcome::refused, milliseconds(1), {load}, {}},
+                    now);
     };
     CHECK(board.has_room(routes, "s", {}, now));
     for (std::uint16_t port = 1; port <= 6; ++port)
@@ -144,7 +146,7 @@
     CHECK_FALSE(board.has_room(routes, "other", {}, now));
 }
 
-TEST_CASE("a target is compared by its runs of the same class of work")
+TEST_CASE("targets are compared by run times of the same class of work")
 {
     target_board board(**find_policy("least_time"), 5);
     const work_class lookup{1, milliseconds(60), call_kind::repeatable};
@@ -160,15 +162,16 @@
     const auto ran = [&](std::uint16_t port, const work_class& work, double ms)
     {
         const address owner{"127.0.0.1", port};
-        owner_word told;
-        told.load = 0.5;
-        told.slots = 13;
-        told.run_ms = ms;
+        load_report report;
+        report.load = 0.5;
+        report.slots = 13;
+        report.run_ms = ms;
         board.started(owner);
-        board.ended(owner, {call_verdict::good, milliseconds(20), told, work},
+        board.ended(owner,
+                    {target_call_outcome::good, milliseconds(20), report, work},
                     now);
     };
-    // The first gets the lookups, yet its bookings take longer.
+    // The first target gets the short lookups, but its bookings take longer.
     for (int i = 0; i < 20; ++i)
         ran(1, lookup, 16);
     ran(1, booking, 150);
@@ -180,7 +183,8 @@
     }
 }
 
-TEST_CASE("large answers cross domains only where it pays")
+TEST_CASE(
+    "large answers cross failure domains only if the gain exceeds the cost")
 {
     target_board board(**find_policy("least_time"), 5);
     const work_class packs{2, milliseconds(250), call_kind::large_repeatable};
@@ -199,18 +203,18 @@
                          std::size_t answer_bytes)
     {
         const address owner{"127.0.0.1", port};
-        owner_word told;
-        told.load = 0.1;
-        told.slots = 13;
-        told.run_ms = ms;
+        load_report report;
+        report.load = 0.1;
+        report.slots = 13;
+        report.run_ms = ms;
         board.started(owner);
-        board.ended(
-            owner,
-            {call_verdict::good, milliseconds(20), told, work, answer_bytes},
-            now);
+        board.ended(owner,
+                    {target_call_outcome::good, milliseconds(20), report, work,
+                     answer_bytes},
+                    now);
     };
-    // The near one takes longer; a small answer is worth the way, a large
-    // one is not.
+    // The near target takes longer: that is worth the distance for a small
+    // answer, but not for a large one.
     for (const auto& [work, bytes] : {std::pair{packs, std::size_t{90'000}},
                                       std::pair{reads, std::size_t{1'500}}})
     {
@@ -229,7 +233,7 @@
     }
 }
 
-TEST_CASE("ambiguous framing is found")
+TEST_CASE("ambiguous framing is detected")
 {
     request_head head;
     head.set(http::field::host, "perceel:80");
@@ -249,7 +253,7 @@
     CHECK_FALSE(framing_fault(head).empty());
 }
 
-TEST_CASE("fields of one connection and of the mesh do not pass")
+TEST_CASE("hop-by-hop fields and fields of the mesh are not forwarded")
 {
     request_head head;
     head.set(http::field::connection, "close, X-Private");
